--- a/src/engine/answer.rs
+++ b/src/engine/answer.rs
@@ -1,16 +1,17 @@
-//! The answer to a query from the values of its parts.
+//! Building the answer to a query from the values of its parts.
 
 use super::in_flight::QueryInFlight;
 use super::messages::{Answer, QueryOutcome, ShardValue};
 use crate::api::Class;
 
-/// Largest error from adding up the weights of parts.
+/// Tolerance for rounding errors in the sum of part weights.
 const WEIGHT_ROUNDING: f64 = 1e-4;
 
-/// The outcome of a query that the policy answers from the parts that have values.
+/// The outcome of a query that the policy answers with the values received so far.
 ///
-/// Checks the policy: an answer below the class's least share fails instead, and one is complete only with
-/// the share that the class needs. A class that the settings do not have needs all parts.
+/// Validates the policy's decision: an answer below the class's minimum share fails the query instead, and an
+/// answer counts as complete only if it reaches the class's complete share. A class that is missing in the
+/// settings needs all parts.
 pub(super) fn answer<Q, V>(
     query: QueryInFlight<Q, V>,
     is_complete: bool,
@@ -24,7 +25,11 @@
         .get(query.class)
         .map_or((1.0, 1.0), |class| (class.complete_share, class.min_answer_share.min(class.complete_share)));
     if !has_all && share + WEIGHT_ROUNDING < min_share {
-        tracing::error!(share, min_share, "policy answered from too small a share of a query's parts");
+        tracing::error!(
+            share,
+            min_share,
+            "policy answered a query below its class's minimum share; the query fails"
+        );
         return QueryOutcome::Failed;
     }
     let complete = is_complete && (has_all || share + WEIGHT_ROUNDING >= complete_share);
--- a/src/engine/calls.rs
+++ b/src/engine/calls.rs
@@ -1,16 +1,16 @@
-//! Attempts that are sent in one round, grouped into calls by server.
+//! Grouping of the attempts of one round into calls by server.
 
 use super::messages::{AttemptId, AttemptRequest, EngineAction};
 use crate::api::ReplicaId;
 
-/// The attempts of one server.
+/// The attempts of one round at one server.
 #[derive(Debug)]
 struct ServerCalls<Q> {
     replica: ReplicaId,
     parts: Vec<AttemptRequest<Q>>,
 }
 
-/// The attempts of one round, servers in the order of their first attempt.
+/// The attempts of one round, grouped by server. Servers are in the order of their first attempt.
 #[derive(Debug)]
 pub(super) struct CallBatch<Q> {
     servers: Vec<ServerCalls<Q>>,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Removes an attempt. False if it is not of this batch, and so was sent in an earlier round.
+    /// Removes an attempt. Returns false if it is not in this batch, because it was sent in an earlier round.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> bool {
         for server in &mut self.servers {
             if let Some(index) = server.parts.iter().position(|part| part.attempt == attempt) {
@@ -39,7 +39,7 @@
         false
     }
 
-    /// The calls, each with at most so many parts.
+    /// The calls, each with at most `parts_per_call` attempts.
     pub(super) fn into_actions<V>(self, parts_per_call: usize) -> Vec<EngineAction<Q, V>> {
         let mut actions = Vec::new();
         for ServerCalls { replica, mut parts } in self.servers {
--- a/src/engine/client_side.rs
+++ b/src/engine/client_side.rs
@@ -1,4 +1,4 @@
-//! The interface to the client side: queries come in, and each gets one final outcome.
+//! The engine's interface to the client side: queries are submitted, and each gets one final outcome.
 
 use super::QueryEngine;
 use super::in_flight::{PartInFlight, QueryInFlight};
@@ -7,12 +7,12 @@
 use crate::api::{Event, Nanos, RequestId};
 use crate::metrics::QueryResult;
 
-/// Time before the client gives up at which the engine itself ends a query, ns.
+/// How long before the client's deadline the engine ends a query, ns.
 const ANSWER_MARGIN: Nanos = 15_000_000;
 
 impl<Q, V> QueryEngine<Q, V> {
-    /// Admits a query. Its final outcome is an [`EngineAction::Respond`], unless its client disconnects
-    /// before.
+    /// Admits a query. Its final outcome is an [`EngineAction::Respond`], unless the client disconnects
+    /// first.
     ///
     /// # Errors
     ///
@@ -40,16 +40,18 @@
         Ok(QueryId(id))
     }
 
-    /// The event of a query that is admitted.
+    /// The policy event for an admitted query.
     ///
-    /// A shutdown may leave less time than the class's latency objective. That is not the client's doing, so
-    /// such a query is not a retry to the policy, and the policy is given the time that is really left.
+    /// A shutdown deadline may leave less time than the class's latency objective. The client did not cause
+    /// this, so the event does not mark such a query as a retry, and it carries the time that is actually
+    /// left instead of the client's.
     fn query_event(&self, now: Nanos, id: u64, deadline: Nanos, request: &QueryRequest<Q>) -> Event {
-        let left = (deadline + ANSWER_MARGIN).saturating_sub(now);
+        let remaining = (deadline + ANSWER_MARGIN).saturating_sub(now);
         let objective = self.settings.classes.get(request.class).map(|class| class.latency_objective);
-        let is_cut = left < request.time_left && objective.is_some_and(|objective| left < objective);
+        let is_cut_by_shutdown =
+            remaining < request.time_left && objective.is_some_and(|objective| remaining < objective);
         let (time_left, is_retry) =
-            if is_cut { (left, false) } else { (request.time_left, request.is_retry) };
+            if is_cut_by_shutdown { (remaining, false) } else { (request.time_left, request.is_retry) };
         Event::Query {
             query: RequestId(id.into()),
             job: id,
@@ -62,14 +64,13 @@
         }
     }
 
-    /// The rejection of a client for which there is no capacity. Its Retry-After time differs from call to
-    /// call.
+    /// A rejection for lack of capacity. The Retry-After time differs from call to call.
     pub fn overloaded(&mut self) -> Overloaded {
         let id = self.next_id();
         self.admission.overloaded(id)
     }
 
-    /// Ends a query whose client has disconnected. There is no final outcome.
+    /// Ends a query whose client has disconnected, without a final outcome.
     pub fn client_disconnected(&mut self, query: QueryId) {
         if let Some(ended) = self.remove_query(query.0) {
             tracing::debug!(
@@ -78,7 +79,7 @@
                 elapsed_ms = self.now.saturating_sub(ended.admitted_at) / NANOS_PER_MILLI,
                 sent_parts = ended.sent_parts(),
                 parts = ended.parts.len(),
-                "query ended: its client disconnected"
+                "query ended: client disconnected"
             );
             self.events.push(Event::ClientDisconnected { query: RequestId(query.0.into()) });
         }
@@ -90,7 +91,7 @@
         Some(query)
     }
 
-    /// Gives a query its final outcome. Does nothing for one that has had it.
+    /// Ends a query with its final outcome. Does nothing if the query has already ended.
     pub(super) fn finish(&mut self, id: u64, outcome: impl FnOnce(QueryInFlight<Q, V>) -> QueryOutcome<V>) {
         let Some(query) = self.remove_query(id) else { return };
         let (class, admitted_at) = (query.class, query.admitted_at);
--- a/src/engine/in_flight.rs
+++ b/src/engine/in_flight.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 
-/// An attempt at a part that a server has begun to receive, so that it may have run.
+/// An attempt that a server has begun to receive, and may therefore have executed.
 #[derive(Clone, Copy, Debug)]
 struct StartedAttempt {
     number: u32,
@@ -17,9 +17,9 @@
 pub(super) struct PartInFlight<V> {
     pub(super) id: RequestId,
     pub(super) request: PartRequest,
-    /// Attempts that the policy has sent.
+    /// Number of attempts that the policy has sent.
     pub(super) sent_attempts: u32,
-    /// Those that may have run.
+    /// The attempts that may have executed.
     started: Vec<StartedAttempt>,
     pub(super) value: Option<V>,
 }
@@ -30,8 +30,8 @@
         PartInFlight { id, request, sent_attempts: 0, started: Vec::new(), value: None }
     }
 
-    /// Whether another attempt may start without a second effect. `margin` is the time after `now` within
-    /// which the attempt reaches its server.
+    /// Whether another attempt may start without the risk of applying the part's effect twice. `margin` is
+    /// the time within which an attempt that starts at `now` reaches its server, ns.
     pub(super) fn may_start(&self, idempotency: Idempotency, now: Nanos, margin: Nanos) -> bool {
         let Some(first_start) = self.started.iter().map(|started| started.at).min() else { return true };
         match idempotency {
@@ -46,7 +46,7 @@
         self.started.push(StartedAttempt { number, at: now });
     }
 
-    /// Records that an attempt has not run after all.
+    /// Records that a started attempt was not executed.
     pub(super) fn undo_start(&mut self, number: u32) {
         self.started.retain(|started| started.number != number);
     }
@@ -58,15 +58,15 @@
     pub(super) class: usize,
     pub(super) key: Option<u64>,
     pub(super) admitted_at: Nanos,
-    /// When it ends at the latest.
+    /// Latest time at which the query ends.
     pub(super) deadline: Nanos,
-    /// In the order in which the client named them.
+    /// In the order of the client's request.
     pub(super) parts: Vec<PartInFlight<V>>,
     pub(super) payload: Rc<Q>,
 }
 
 impl<Q, V> QueryInFlight<Q, V> {
-    /// The query of a request, with its parts.
+    /// A query that was admitted, with its parts.
     pub(super) fn new(
         request: QueryRequest<Q>,
         admitted_at: Nanos,
@@ -86,7 +86,7 @@
         self.parts.iter_mut().find(|candidate| candidate.id == part)
     }
 
-    /// Number of entries against the limit on what is in flight.
+    /// Number of entries that the query counts for in the limit on queries and parts in flight.
     fn size(&self) -> usize {
         1 + self.parts.len()
     }
@@ -139,7 +139,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The query that has a part.
+    /// The query that a part belongs to.
     pub(super) fn id_of_part(&self, part: RequestId) -> Option<u64> {
         self.by_part.get(&part).copied()
     }
@@ -154,13 +154,13 @@
 pub(super) struct AttemptInFlight {
     pub(super) query: u64,
     pub(super) part: RequestId,
-    /// Its number among the attempts at its part, from 0.
+    /// Index among the attempts at the part, from 0.
     pub(super) number: u32,
     pub(super) replica: ReplicaId,
     pub(super) sent_at: Nanos,
-    /// When it times out.
+    /// Time at which it times out.
     pub(super) due: Nanos,
-    /// It waits at the server side for a connection: nothing of it has been written.
+    /// The server side holds it until a connection is available; none of its bytes has been written.
     pub(super) is_queued: bool,
 }
 
@@ -168,7 +168,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Attempts {
     by_id: BTreeMap<AttemptId, AttemptInFlight>,
-    /// By part and number.
+    /// Ids by part and attempt number.
     ids: HashMap<(RequestId, u32), AttemptId>,
 }
 
@@ -197,7 +197,7 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The attempt with a number among those at a part.
+    /// The attempt at `part` with this number.
     pub(super) fn id(&self, part: RequestId, number: u32) -> Option<AttemptId> {
         self.ids.get(&(part, number)).copied()
     }
--- a/src/engine/messages.rs
+++ b/src/engine/messages.rs
@@ -1,4 +1,4 @@
-//! What the client side and the server side hand to the engine, and what it hands to them.
+//! Messages between the engine and the client side, the server side, membership and discovery.
 
 use crate::api::{Nanos, Outcome, ReplicaId};
 use std::rc::Rc;
@@ -14,19 +14,19 @@
 /// A query that the client side submits. `Q` is its payload.
 #[derive(Clone, Debug)]
 pub struct QueryRequest<Q> {
-    /// Index of its class in the settings.
+    /// Index of the query's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings, if it has one.
+    /// Index of the query's tenant in the settings, if it has one.
     pub tenant: Option<usize>,
-    /// Key of what it is about, where queries have one; the server side may route by it.
+    /// Key of the data that the query concerns, if queries have one; the server side may route by it.
     pub key: Option<u64>,
-    /// Time until the client gives up, ns.
+    /// Time until the client's deadline, ns.
     pub time_left: Nanos,
-    /// The client has marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// Its parts, each for another shard.
+    /// The parts, each for a different shard.
     pub parts: Vec<PartRequest>,
-    /// What the server side sends; the engine does not look at it.
+    /// Payload that the server side sends; opaque to the engine.
     pub payload: Rc<Q>,
 }
 
@@ -35,20 +35,20 @@
 pub struct PartRequest {
     /// The shard.
     pub shard: u32,
-    /// Its share of the complete answer; those of all parts add up to 1.
+    /// The part's share of the complete answer; the shares of all parts add up to 1.
     pub weight: f64,
-    /// Its expected work, if known, ns.
+    /// Expected work, ns, if known.
     pub work: Option<Nanos>,
 }
 
-/// Rejection of a query, as the limit on queries and parts in flight is reached.
+/// Rejection of a query because it would exceed the limit on queries and parts in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overloaded {
     /// When the client should retry, ns from now; 0 for no advice.
     pub retry_after: Nanos,
 }
 
-/// The value that a server gave for a part.
+/// The value that a server returned for a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardValue<V> {
     /// The part's shard.
@@ -60,30 +60,30 @@
 /// An answer to a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer<V> {
-    /// The parts with values are enough for a complete answer of the class.
+    /// Whether the parts with values reach the class's complete share.
     pub complete: bool,
-    /// The values, in the order in which the client named the parts.
+    /// The values, in the order of the parts in the request.
     pub values: Vec<ShardValue<V>>,
-    /// Number of parts that the query has.
+    /// Number of parts of the query.
     pub requested_parts: usize,
 }
 
-/// The final outcome of a query; each has exactly one.
+/// The final outcome of a query; each query has at most one, and none if its client disconnects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QueryOutcome<V> {
     /// Answered, completely or partially.
     Answered(Answer<V>),
-    /// Rejected: a retry by the client is harmless.
+    /// Rejected: the client can safely retry.
     Rejected {
         /// When the client should retry, ns from now; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Failed: there is no answer, and parts may have run.
+    /// Failed: there is no answer, and parts may have been executed.
     Failed,
 }
 
 impl<V> QueryOutcome<V> {
-    /// The outcome as a word for log lines.
+    /// The outcome as a field value for log lines.
     pub fn label(&self) -> &'static str {
         match self {
             QueryOutcome::Answered(a) if a.complete => "whole",
@@ -97,11 +97,11 @@
 /// An attempt at a part, to be sent to a server.
 #[derive(Clone, Debug)]
 pub struct AttemptRequest<Q> {
-    /// The id with which its one outcome is reported.
+    /// The id under which the server side reports the outcome, once.
     pub attempt: AttemptId,
     /// The part's shard.
     pub shard: u32,
-    /// How long the broker waits for the outcome, ns.
+    /// Time-out of the attempt, ns.
     pub timeout: Nanos,
     /// The key of the query.
     pub key: Option<u64>,
@@ -114,34 +114,34 @@
 pub struct AttemptOutcome<V> {
     /// How it ended.
     pub outcome: Outcome,
-    /// Busy share of the server's processors, 0 to 1, where it reported that.
+    /// Processor utilization of the server, 0 to 1, if reported.
     pub utilization: Option<f64>,
-    /// The value of the part, with [`Outcome::Ok`].
+    /// The value of the part, for [`Outcome::Ok`].
     pub value: Option<V>,
 }
 
-/// The end of an attempt, for the membership.
+/// The end of an attempt, as reported to membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// The server that it was sent to.
+    /// The server of the attempt.
     pub replica: ReplicaId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent, ns.
+    /// Time from when the policy sent the attempt to its end, ns.
     pub latency: Nanos,
 }
 
-/// What the client side, the server side or the discovery is to do.
+/// An action for the client side, the server side or discovery to carry out.
 #[derive(Clone, Debug)]
 pub enum EngineAction<Q, V> {
-    /// Server side: send a call to a server. One outcome is to be reported for each part.
+    /// Server side: send a call to a server, and report one outcome for each attempt in it.
     Call {
         /// The server.
         replica: ReplicaId,
         /// The attempts in the call.
         parts: Vec<AttemptRequest<Q>>,
     },
-    /// Server side: cancel an attempt. No outcome is to be reported.
+    /// Server side: cancel an attempt, without reporting an outcome.
     CancelAttempt {
         /// The server.
         replica: ReplicaId,
@@ -155,7 +155,7 @@
         /// Its final outcome.
         outcome: QueryOutcome<V>,
     },
-    /// Discovery: watch the endpoint list from now on.
+    /// Discovery: start watching the endpoint list.
     WatchEndpoints,
     /// Server side: send a health check to a server.
     HealthCheck {
--- a/src/engine/mod.rs
+++ b/src/engine/mod.rs
@@ -1,17 +1,19 @@
-//! The query engine: where clients' queries and attempts at servers meet.
+//! The query engine: sends the parts of clients' queries to servers as attempts, and answers the queries.
 //!
-//! [`QueryEngine`] admits queries, runs rounds of the policy, and carries out the policy's actions under the
-//! guarantees that do not depend on it: one final outcome for each query, in time, and no attempt where none
-//! is allowed. It does no I/O and has no clock; the current time is an argument. The modules below it:
+//! [`QueryEngine`] admits queries, runs rounds of the policy, and carries out the policy's actions. Whatever
+//! the policy decides, the engine guarantees that each query gets one final outcome by its deadline, and that
+//! no forbidden attempt is sent. It does no I/O and has no clock; the current time is an argument. Its
+//! modules:
 //!
-//! - `messages`: what both sides hand in and are handed;
+//! - `messages`: types of the interfaces to the client side and the server side;
 //! - `in_flight`: queries, parts and attempts without an outcome;
 //! - `timers`: time-outs of attempts, deadlines of queries, and the schedule of rounds;
-//! - `admission`: the limit on what is in flight, and Retry-After times;
+//! - `admission`: the limit on queries and parts in flight, and Retry-After times;
 //! - `placement`: which server has which shards;
 //! - `calls`: attempts of one round, grouped by server;
 //! - `answer`: the answer from the values of a query's parts;
-//! - `client_side`, `server_side`, `rounds`: the engine's methods for clients, for servers and for time.
+//! - `client_side`, `server_side`, `rounds`: the engine's methods for the client side, the server side and
+//!   the passing of time.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/engine/placement.rs
+++ b/src/engine/placement.rs
@@ -1,4 +1,4 @@
-//! Which server has which shards, and whether it takes new attempts: the endpoint list as last reported.
+//! Placement of shards on servers, and which servers accept new attempts, from the latest endpoint list.
 
 use crate::api::{ReplicaEntry, ReplicaId, ReplicaState, Settings};
 use std::collections::HashMap;
@@ -9,12 +9,12 @@
     accepts_attempts: bool,
 }
 
-/// The listed servers.
+/// The servers of the endpoint list.
 #[derive(Debug)]
 pub(super) struct Placements {
     by_replica: HashMap<ReplicaId, Placement>,
     cells: u32,
-    /// Number of consecutive cells that have a shard.
+    /// Number of consecutive cells that hold a shard.
     span: u32,
 }
 
@@ -23,7 +23,7 @@
         Placements { by_replica: HashMap::new(), cells: settings.cells, span: settings.span }
     }
 
-    /// Applies entries of the endpoint list: changes, or with `full` all of it.
+    /// Applies entries of the endpoint list: the whole list if `full`, otherwise changes to it.
     pub(super) fn update(&mut self, full: bool, entries: &[ReplicaEntry]) {
         if full {
             self.by_replica.clear();
--- a/src/engine/query_engine.rs
+++ b/src/engine/query_engine.rs
@@ -1,6 +1,7 @@
 //! The query engine: its state, its counters and its limits.
 //!
-//! Its interface to clients is in `client_side`, that to servers in `server_side`, and time in `rounds`.
+//! The methods for the client side are in `client_side`, those for the server side in `server_side`, and the
+//! handling of time in `rounds`.
 
 use super::admission::Admission;
 use super::in_flight::{Attempts, Queries};
@@ -12,12 +13,12 @@
 use crate::policy::Balancer;
 use std::collections::VecDeque;
 
-/// Queries, parts and attempts between the client side and the server side.
+/// Manages queries, parts and attempts between the client side and the server side.
 ///
 /// `Q` is the payload that a query carries to the servers, and `V` the value of a part. The client side
-/// submits queries and gets exactly one final outcome for each. The server side carries out the actions and
-/// reports one outcome for each attempt. All times are on the caller's monotonic clock, and `now` must not
-/// decrease from call to call.
+/// submits queries and gets exactly one final outcome for each whose client stays connected. The server side
+/// carries out the actions and reports one outcome for each attempt. All times are on the caller's monotonic
+/// clock, and `now` must not decrease from call to call.
 pub struct QueryEngine<Q, V> {
     pub(super) balancer: Balancer,
     pub(super) settings: Settings,
@@ -28,17 +29,17 @@
     pub(super) placements: Placements,
     pub(super) timers: Timers,
     pub(super) rounds: RoundSchedule,
-    /// Events for the next round.
+    /// Events for the policy's next round.
     pub(super) events: Vec<Event>,
-    /// Empty between rounds; its memory is used again.
+    /// Buffer for the policy's actions in a round; empty between rounds, and kept to reuse its memory.
     pub(super) policy_actions: Vec<Action>,
-    /// Actions for the two sides, in order.
+    /// Actions for the client side, the server side and discovery, in order.
     pub(super) actions: VecDeque<EngineAction<Q, V>>,
-    /// Ends of attempts that the membership has not taken.
+    /// Ends of attempts that membership has not collected yet.
     pub(super) attempt_ends: VecDeque<AttemptEnd>,
     /// The time of the last `advance`.
     pub(super) now: Nanos,
-    /// When all queries must have ended.
+    /// Time by which all queries must have ended.
     pub(super) shutdown_deadline: Nanos,
     pub(super) metrics: Metrics,
 }
@@ -55,11 +56,11 @@
 }
 
 impl<Q, V> QueryEngine<Q, V> {
-    /// An engine without queries. `seed` is that of the policy's random choices.
+    /// Creates an engine without queries. `seed` initializes the policy's random number generator.
     ///
     /// # Errors
     ///
-    /// Fails for settings that [`Settings::check`] rejects.
+    /// Fails if [`Settings::check`] rejects the settings.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         Ok(QueryEngine {
             balancer: Balancer::new(settings.clone(), seed, now)?,
@@ -86,17 +87,17 @@
         &self.settings
     }
 
-    /// Counts of final outcomes by class, and of attempts written.
+    /// Counters of final outcomes by class, and of attempts written.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Counts attempts that the server side has written completely since the last call.
+    /// Adds to the counter of attempts that the server side has written completely.
     pub fn attempts_written(&mut self, attempts: u64) {
         self.metrics.record_attempts(attempts);
     }
 
-    /// Number of servers that accept attempts and that the policy has ejected as outliers.
+    /// Number of servers that accept attempts but that the policy has ejected as outliers.
     pub fn ejected(&self) -> usize {
         self.balancer.ejected()
     }
@@ -121,14 +122,14 @@
         self.queries.size()
     }
 
-    /// Sets the limit on [`QueryEngine::in_flight`], which is never above `max_in_flight` of the settings.
-    /// Queries that are in flight stay.
+    /// Sets the limit on [`QueryEngine::in_flight`], capped at `max_in_flight` of the settings. Queries that
+    /// are already in flight are not affected.
     pub fn limit_in_flight(&mut self, limit: usize) {
         self.admission.set_limit(limit);
     }
 
-    /// Sets whether this process has the free part of the retry budget, or another process at the same
-    /// address has it.
+    /// Sets whether this process owns the free part of the retry budget, or another process at the same
+    /// address does.
     pub fn set_free_retries(&mut self, own: bool) {
         let budget = self.settings.retry_budget.map(|budget| {
             let free = if own { budget.free } else { 0.0 };
@@ -137,8 +138,8 @@
         self.events.push(Event::RetryBudget(budget));
     }
 
-    /// Ends all queries by a time at the latest: those that are open and those that are submitted later. For
-    /// a graceful shutdown, as a query that is open when the process ends has no outcome.
+    /// Sets the time by which all queries end, both the open ones and those submitted later. A graceful
+    /// shutdown needs this because a query that is open when the process exits gets no outcome.
     pub fn end_all_by(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline;
         for id in self.timers.take_queries_after(deadline) {
--- a/src/engine/rounds.rs
+++ b/src/engine/rounds.rs
@@ -1,4 +1,4 @@
-//! Time: what has timed out, the rounds of the policy, and carrying out its actions.
+//! Handling of time-outs and deadlines, the rounds of the policy, and execution of the policy's actions.
 
 use super::QueryEngine;
 use super::answer::answer;
@@ -9,15 +9,15 @@
 use crate::api::{Action, Event, Idempotency, Nanos, Outcome, ReplicaId, RequestId};
 
 impl<Q, V> QueryEngine<Q, V> {
-    /// When [`QueryEngine::advance`] next has something to do.
+    /// When [`QueryEngine::advance`] must be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Nanos> {
         let round = self.rounds.next(!self.events.is_empty());
         [round, self.timers.next()].into_iter().flatten().min()
     }
 
-    /// Ends what has timed out and, if one is due, runs a round of the policy. [`QueryEngine::next_action`]
-    /// then gives what is to be done.
+    /// Ends attempts that have timed out and queries that have reached their deadline, and runs a round of
+    /// the policy if one is due. [`QueryEngine::next_action`] then returns the resulting actions.
     pub fn advance(&mut self, now: Nanos) {
         self.now = now;
         self.time_out_attempts(now);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Ends queries at their deadline, so that each client has an outcome in time whatever the policy does.
+    /// Ends queries at their deadline, so that each client gets an outcome in time whatever the policy does.
     fn expire_queries(&mut self, now: Nanos) {
         while let Some(id) = self.timers.expired_query(now) {
             let outcome = self.expired_outcome(id);
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The outcome of a query at its deadline: rejected, if a shutdown set that and a retry is harmless, else
-    /// failed.
+    /// The outcome of a query at its deadline: rejected if a shutdown set the deadline and the client can
+    /// safely retry, otherwise failed.
     fn expired_outcome(&mut self, id: u64) -> QueryOutcome<V> {
         let is_safe_to_retry = self.queries.get(id).is_some_and(|query| {
             let is_idempotent = || self.settings.classes[query.class].idempotency == Idempotency::Idempotent;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The next action for the client side, the server side or the discovery, in order.
+    /// Removes and returns the next action for the client side, the server side or discovery.
     pub fn next_action(&mut self) -> Option<EngineAction<Q, V>> {
         self.actions.pop_front()
     }
@@ -102,7 +102,7 @@
     fn cancel(&mut self, now: Nanos, part: RequestId, number: u32, calls: &mut CallBatch<Q>) {
         let Some(attempt) = self.attempts.id(part, number) else { return };
         let Some(ended) = self.remove_attempt(attempt) else { return };
-        // The server side does not know an attempt of this very round.
+        // An attempt that was added in this round has not been passed to the server side yet.
         let outcome = if calls.remove(attempt) {
             Outcome::NotSent
         } else {
@@ -112,8 +112,9 @@
         self.report_end(now, &ended, outcome, None);
     }
 
-    /// Sends an attempt, unless the engine's own rules forbid it: a part goes only to a server that has its
-    /// shard, not after its query's deadline, and not more often than the settings allow.
+    /// Sends an attempt, unless the engine's own checks forbid it: the server must have the part's shard, the
+    /// query's deadline must not have been reached, and the part must have attempts left by `max_attempts` of
+    /// the settings.
     fn send(
         &mut self,
         now: Nanos,
--- a/src/engine/server_side.rs
+++ b/src/engine/server_side.rs
@@ -1,4 +1,4 @@
-//! The interface to the server side: outcomes of attempts, the endpoint list and health checks.
+//! The engine's interface to the server side: outcomes of attempts, the endpoint list and health checks.
 
 use super::QueryEngine;
 use super::in_flight::AttemptInFlight;
@@ -6,11 +6,11 @@
 use super::timers::NANOS_PER_MILLI;
 use crate::api::{Event, Nanos, Outcome, ReplicaEntry, ReplicaId};
 
-/// Most ends of attempts that wait to be taken; the oldest are dropped.
+/// Maximum number of attempt ends kept until membership collects them; beyond it the oldest are dropped.
 const MAX_ATTEMPT_ENDS: usize = 4096;
 
 impl<Q, V> QueryEngine<Q, V> {
-    /// Records that an attempt waits for a connection. [`QueryEngine::begin_attempt`] has to be asked before
+    /// Records that an attempt waits for a connection. [`QueryEngine::begin_attempt`] must be called before
     /// its first byte is written.
     pub fn attempt_queued(&mut self, attempt: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(attempt) {
@@ -18,12 +18,12 @@
         }
     }
 
-    /// Whether an attempt that is about to be written is still wanted. If so, it counts as started from now
-    /// on. If not, it has ended, and the server side drops it without reporting an outcome.
+    /// Checks whether an attempt that is about to be written is still needed. If true, the attempt counts as
+    /// started. If false, it has ended, and the server side drops it without reporting an outcome.
     ///
-    /// An attempt may wait for its connection after the policy has sent it. It is not begun if its query has
-    /// ended, its part has a value, its server drains, it has timed out, or it could be a second effect by
-    /// then.
+    /// An attempt may wait for a connection after the policy has sent it. It is not begun if meanwhile its
+    /// query has ended, its part has got a value, its server is draining, it has timed out, or starting it
+    /// could apply the part's effect twice.
     #[must_use]
     pub fn begin_attempt(&mut self, now: Nanos, attempt: AttemptId) -> bool {
         let Some(waiting) = self.attempts.get_mut(attempt) else { return false };
@@ -46,8 +46,8 @@
         false
     }
 
-    /// Records that nothing of an attempt could be written after [`QueryEngine::begin_attempt`]: it has not
-    /// started, and waits on.
+    /// Records that no byte of an attempt could be written after [`QueryEngine::begin_attempt`]: the attempt
+    /// has not started and is queued again.
     pub fn attempt_deferred(&mut self, attempt: AttemptId) {
         let Some(waiting) = self.attempts.get_mut(attempt) else { return };
         waiting.is_queued = true;
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Takes the outcome of an attempt. One that is late, repeated or of a cancelled attempt is ignored.
+    /// Handles the outcome of an attempt. Ignores late and repeated outcomes and those of cancelled attempts.
     pub fn attempt_ended(&mut self, now: Nanos, attempt: AttemptId, reported: AttemptOutcome<V>) {
         let Some(ended) = self.remove_attempt(attempt) else { return };
         let mut outcome = reported.outcome;
         if outcome == Outcome::Ok {
             match (self.queries.part_mut(ended.query, ended.part), reported.value) {
                 (Some(part), Some(value)) => part.value = part.value.take().or(Some(value)),
-                // A part has its answer only with a value.
+                // An attempt without a value does not answer its part.
                 (_, None) => outcome = Outcome::Error,
                 (None, Some(_)) => {}
             }
@@ -71,7 +71,7 @@
         self.report_end(now, &ended, outcome, reported.utilization);
     }
 
-    /// Reports the end of an attempt to the policy and the membership.
+    /// Reports the end of an attempt to the policy and to membership.
     pub(super) fn report_end(
         &mut self,
         now: Nanos,
@@ -79,7 +79,7 @@
         outcome: Outcome,
         utilization: Option<f64>,
     ) {
-        // Nothing of a queued attempt was written, whatever ended its wait.
+        // No byte of a queued attempt was written, so it was not sent even if it timed out or was cancelled.
         let unsent = ended.is_queued && matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
         let outcome = if unsent { Outcome::NotSent } else { outcome };
         let never_ran = matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent);
@@ -96,9 +96,9 @@
             timeout_ms = ended.due.saturating_sub(ended.sent_at) / NANOS_PER_MILLI,
             ?outcome,
             ?utilization,
-            "attempt ended at its server"
+            "attempt ended"
         );
-        // Bounds the memory where nobody takes them.
+        // Bounds memory if membership does not collect the ends.
         if self.attempt_ends.len() >= MAX_ATTEMPT_ENDS {
             self.attempt_ends.pop_front();
         }
@@ -119,18 +119,18 @@
         Some(attempt)
     }
 
-    /// The next end of an attempt, for the membership, the oldest first.
+    /// Removes and returns the oldest attempt end that membership has not collected yet.
     pub fn next_attempt_end(&mut self) -> Option<AttemptEnd> {
         self.attempt_ends.pop_front()
     }
 
-    /// Applies entries of the endpoint list: changes, or with `full` all of it.
+    /// Applies entries of the endpoint list: the whole list if `full`, otherwise changes to it.
     pub fn update_endpoints(&mut self, full: bool, entries: Vec<ReplicaEntry>) {
         self.placements.update(full, &entries);
         self.events.push(Event::EndpointList { full, entries });
     }
 
-    /// Reports that a server which was taken for warming up is as fast as the others.
+    /// Reports that a server which was considered to be warming up is as fast as the others.
     pub fn replica_warmed_up(&mut self, replica: ReplicaId) {
         self.events.push(Event::WarmedUp { replica });
     }
@@ -140,18 +140,18 @@
         self.events.push(Event::WatchFailed);
     }
 
-    /// Reports that nothing confirms the endpoint list any more: see [`Event::ListUnconfirmed`].
+    /// Reports that the endpoint list is no longer confirmed: see [`Event::ListUnconfirmed`].
     pub fn list_unconfirmed(&mut self, since: Nanos, lease_end: Nanos, proof_lifetime: Nanos) {
         self.events.push(Event::ListUnconfirmed { since, lease_end, proof_lifetime });
     }
 
-    /// Reports that the endpoint list is watched again, and current.
+    /// Reports that the endpoint list is watched again and up to date.
     pub fn list_confirmed(&mut self) {
         self.events.push(Event::ListConfirmed);
     }
 
-    /// Reports the result of a health check. `latency` is in ns; `utilization` is the busy share of the
-    /// server's processors, where it reported that.
+    /// Reports the result of a health check. `latency` is in ns; `utilization` is the server's processor
+    /// utilization, 0 to 1, if reported.
     pub fn health_checked(&mut self, replica: ReplicaId, ok: bool, latency: Nanos, utilization: Option<f64>) {
         self.events.push(Event::HealthChecked { replica, ok, latency, utilization });
     }
--- a/src/engine/timers.rs
+++ b/src/engine/timers.rs
@@ -1,14 +1,13 @@
-//! When the engine has something to do: time-outs of attempts, deadlines of queries, and rounds of the
-//! policy.
+//! Time-outs of attempts, deadlines of queries, and the schedule of the policy's rounds.
 
 use super::messages::AttemptId;
 use crate::api::Nanos;
 use std::collections::BTreeSet;
 
-/// For log lines.
+/// For times in log lines.
 pub(super) const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Ends of attempts and of queries, by time.
+/// Time-outs of attempts and deadlines of queries, ordered by time.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     attempt_timeouts: BTreeSet<(Nanos, AttemptId)>,
@@ -32,23 +31,23 @@
         self.query_deadlines.remove(&(deadline, query));
     }
 
-    /// Removes the deadlines after a time, and gives their queries.
+    /// Removes the deadlines after a time, and returns the ids of their queries.
     pub(super) fn take_queries_after(&mut self, time: Nanos) -> Vec<u64> {
         let later = self.query_deadlines.split_off(&(time.saturating_add(1), 0));
         later.into_iter().map(|(_, query)| query).collect()
     }
 
-    /// The attempt that has timed out by `now`, the earliest first. It stays until it is removed.
+    /// The attempt with the earliest time-out, if that is at or before `now`. Does not remove it.
     pub(super) fn timed_out_attempt(&self, now: Nanos) -> Option<AttemptId> {
         self.attempt_timeouts.first().filter(|(due, _)| *due <= now).map(|(_, attempt)| *attempt)
     }
 
-    /// The query whose deadline has come by `now`, the earliest first. It stays until it is removed.
+    /// The query with the earliest deadline, if that is at or before `now`. Does not remove it.
     pub(super) fn expired_query(&self, now: Nanos) -> Option<u64> {
         self.query_deadlines.first().filter(|(deadline, _)| *deadline <= now).map(|(_, query)| *query)
     }
 
-    /// The earliest of all.
+    /// The earliest time-out or deadline.
     pub(super) fn next(&self) -> Option<Nanos> {
         let timeout = self.attempt_timeouts.first().map(|(due, _)| *due);
         let deadline = self.query_deadlines.first().map(|(deadline, _)| *deadline);
@@ -61,26 +60,26 @@
 pub(super) enum DueRound {
     /// There are events for the policy.
     Events,
-    /// The time that the policy asked for has come.
+    /// The time that the policy requested has been reached.
     Timer,
 }
 
-/// When rounds run: for events or at the time that the policy asked for, and no closer than an interval.
+/// When rounds run: for events or at the time that the policy requested, and at least `interval` apart.
 #[derive(Debug)]
 pub(super) struct RoundSchedule {
     interval: Nanos,
     last_round: Option<Nanos>,
-    /// The time that the policy asked for.
+    /// The time that the policy requested.
     wake_at: Option<Nanos>,
 }
 
 impl RoundSchedule {
-    /// A schedule whose first round is due at once.
+    /// A schedule whose first round is due immediately.
     pub(super) fn new(interval: Nanos, now: Nanos) -> RoundSchedule {
         RoundSchedule { interval, last_round: None, wake_at: Some(now) }
     }
 
-    /// Asks for a round at a time, at the latest.
+    /// Requests a round at `time` at the latest.
     pub(super) fn wake_by(&mut self, time: Nanos) {
         self.wake_at = Some(self.wake_at.map_or(time, |earlier| earlier.min(time)));
     }
@@ -93,7 +92,7 @@
         [for_events, woken].into_iter().flatten().min()
     }
 
-    /// The round that is due, which counts as run from now on.
+    /// Returns the round that is due, if any, and records it as run at `now`.
     pub(super) fn take_due(&mut self, now: Nanos, has_events: bool) -> Option<DueRound> {
         if self.last_round.is_some_and(|last| now < last + self.interval) {
             return None;
