--- a/src/routing/health.rs
+++ b/src/routing/health.rs
@@ -1,29 +1,31 @@
-//! The health of one node: ejection after failures, probing, and the ramp back to full weight.
+//! The health of one node: ejection after failures, probing, and warm-up to the full weight.
 
 use crate::api::{Nanos, Outcome};
 
-/// Consecutive failures, other than failed connections, that eject a node. A single error does not.
-const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// Share of its weight that a node has while it is probed; it grows to all of it while the node warms up.
+/// Number of consecutive failures that eject a node, so that a single error does not. A failed connection
+/// ejects it immediately.
+const EJECTION_THRESHOLD: u32 = 3;
+/// Share of its weight that a node has while it is probed; the share grows to 1 while the node warms up.
 const INITIAL_WEIGHT_SHARE: f64 = 0.1;
-/// Number of steps from the initial weight share to the full weight.
+/// Number of steps in which the weight grows from the initial share to the full weight.
 const RAMP_STEPS: f64 = 10.0;
 
-/// Whether a node may get work, and how much.
+/// Whether a node is eligible for work, and at which weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eligibility {
-    /// It works.
+    /// It gets work at its full weight.
     Healthy,
-    /// It failed, and gets no work until then.
+    /// It failed, and gets no work until the ejection ends.
     Ejected {
-        /// When it may be probed, ns.
+        /// End of the ejection, when probing begins, ns.
         until: Nanos,
     },
-    /// It is probed: the next answer decides.
+    /// It gets a small share of work; the next success or failure decides whether it warms up or is ejected
+    /// again.
     Probing,
-    /// It answered the probe, and is warming up.
+    /// It completed an attempt after its ejection, and gets a growing share of work.
     WarmingUp {
-        /// When it answered the probe, ns.
+        /// Start of the warm-up, ns.
         since: Nanos,
     },
 }
@@ -33,18 +35,18 @@
 pub struct Health {
     eligibility: Eligibility,
     consecutive_failures: u32,
-    /// Since when it has been neither ejected nor probed.
+    /// Time since which the node has been neither ejected nor probed, ns; `None` while it is.
     healthy_since: Option<Nanos>,
 }
 
 impl Health {
-    /// The health of a node without failures.
+    /// The health of a new node, without failures.
     #[must_use]
     pub fn new(now: Nanos) -> Health {
         Health { eligibility: Eligibility::Healthy, consecutive_failures: 0, healthy_since: Some(now) }
     }
 
-    /// Whether it may get work.
+    /// Whether the node is eligible for work.
     #[must_use]
     pub fn eligibility(&self) -> Eligibility {
         self.eligibility
@@ -62,13 +64,12 @@
                         (Eligibility::WarmingUp { since: now }, Some(now));
                 }
             }
-            // It rejected a part, or nobody waited for it: neither is a fault.
+            // A rejected, cancelled or unsent attempt is not a failure of the node.
             Outcome::Rejected | Outcome::Cancelled | Outcome::NotSent => {}
             Outcome::ConnectFailed => self.eject(retry, now),
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectionReset | Outcome::InvalidResponse => {
                 self.consecutive_failures += 1;
-                if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES
-                    || self.eligibility == Eligibility::Probing
+                if self.consecutive_failures >= EJECTION_THRESHOLD || self.eligibility == Eligibility::Probing
                 {
                     self.eject(retry, now);
                 }
@@ -78,15 +79,15 @@
     }
 
     fn eject(&mut self, retry: Nanos, now: Nanos) {
-        // Attempts sent before an ejection do not prolong it.
+        // Failures of attempts that were sent before an ejection do not prolong it.
         if !matches!(self.eligibility, Eligibility::Ejected { .. }) {
             (self.eligibility, self.consecutive_failures, self.healthy_since) =
                 (Eligibility::Ejected { until: now + retry }, 0, None);
         }
     }
 
-    /// Handles transitions up to `now`; `warm_up` is the length of the ramp, ns. Returns whether the
-    /// eligibility changed.
+    /// Applies the transitions that are due by `now`; `warm_up` is the length of the warm-up, ns. Returns
+    /// whether the eligibility changed.
     pub fn tick(&mut self, warm_up: Nanos, now: Nanos) -> bool {
         match self.eligibility {
             Eligibility::Ejected { until } if until <= now => self.eligibility = Eligibility::Probing,
@@ -98,7 +99,7 @@
         true
     }
 
-    /// When time alone next changes the eligibility.
+    /// Time of the next transition that does not depend on an outcome, if there is one.
     #[must_use]
     pub fn next_transition(&self, warm_up: Nanos) -> Option<Nanos> {
         match self.eligibility {
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Share of its weight that it has now, from 0 to 1, in steps so that the list does not change all the
-    /// time.
+    /// Share of the node's weight that is effective at `now`, from 0 to 1. It grows in steps, to limit the
+    /// number of announced changes.
     #[must_use]
     pub fn weight_share(&self, warm_up: Nanos, now: Nanos) -> f64 {
         match self.eligibility {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Whether it works and has done so for this time without a break.
+    /// Whether the node is healthy, and has been neither ejected nor probed for at least `time`.
     #[must_use]
     pub fn healthy_for(&self, time: Nanos, now: Nanos) -> bool {
         self.eligibility == Eligibility::Healthy && self.healthy_since.is_some_and(|t| t + time <= now)
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,9 +1,10 @@
-//! Routing: which of the nodes that membership announces are offered to the policy, and with what weight.
+//! Routing: which of the nodes that membership announces are offered to the policy, and at which weight.
 //!
 //! An operator may put nodes into sets that are used in order, reserve spares, set weights, and disable
 //! nodes. The policy still decides which of the offered nodes gets a part, whether to retry, and what to
-//! reject. Free of I/O and clock: changes from membership and outcomes of attempts come in with the time,
-//! changes for the engine go out. The design and its alternatives are described in `docs/routing.md`.
+//! reject. The module does no I/O and has no clock: changes from membership and outcomes of attempts are
+//! passed in with the current time, and changes for the engine are returned. The design and its alternatives
+//! are described in `docs/routing.md`.
 
 #![deny(
     missing_docs,
--- a/src/routing/node.rs
+++ b/src/routing/node.rs
@@ -1,4 +1,4 @@
-//! One routed node: its membership, its rule and its health.
+//! The routing state of one node: its membership entry, its rule and its health.
 
 use super::{AdminState, Eligibility, Health, Rule};
 use crate::api::{Nanos, Outcome, ReplicaEntry, ReplicaState};
@@ -11,7 +11,7 @@
     pub(super) listed: NodeChange,
     pub(super) rule: Rule,
     pub(super) health: Health,
-    /// The entry that was announced last.
+    /// The entry that was last announced to the engine.
     announced: Option<ReplicaEntry>,
 }
 
@@ -20,7 +20,7 @@
         RoutedNode { listed, rule, health: Health::new(now), announced: None }
     }
 
-    /// Replaces what membership announced of the node.
+    /// Replaces the node's change from membership.
     pub(super) fn set_listed(&mut self, listed: NodeChange) {
         // A change of address or kind must be announced even if the entry is the same.
         if (self.listed.addr, &self.listed.kind) != (listed.addr, &listed.kind) {
@@ -29,16 +29,16 @@
         self.listed = listed;
     }
 
-    /// Whether it may get work by its membership and its rule.
+    /// Whether the node may get work according to its membership state and its rule.
     pub(super) fn is_enabled(&self) -> bool {
         self.listed.entry.state == ReplicaState::Active
             && self.rule.admin_state == AdminState::Active
             && self.rule.weight > 0.0
     }
 
-    /// Whether it may replace an ejected node by redirect, although its set, spare or weight would not let
-    /// it.
-    pub(super) fn may_replace(&self) -> bool {
+    /// Whether the node may replace an ejected one as the target of its redirect. Its set, spare setting and
+    /// weight do not matter for this.
+    pub(super) fn can_be_redirect_target(&self) -> bool {
         self.listed.entry.state == ReplicaState::Active
             && matches!(self.rule.admin_state, AdminState::Active | AdminState::Disabled)
             && !self.is_ejected()
@@ -48,12 +48,13 @@
         matches!(self.health.eligibility(), Eligibility::Ejected { .. })
     }
 
-    /// Whether it works, or is warming up.
+    /// Whether the node is healthy or warming up.
     pub(super) fn is_usable(&self) -> bool {
         matches!(self.health.eligibility(), Eligibility::Healthy | Eligibility::WarmingUp { .. })
     }
 
-    /// Records the outcome of an attempt, and logs what follows. Returns whether the eligibility changed.
+    /// Records the outcome of an attempt, and logs an ejection or recovery. Returns whether the eligibility
+    /// changed.
     pub(super) fn on_attempt_end(&mut self, outcome: Outcome, now: Nanos) -> bool {
         let before = self.health.eligibility();
         let changed = self.health.on_attempt_end(outcome, self.rule.retry, now);
@@ -65,17 +66,17 @@
                 tracing::warn!(node = %id, retry_s, "node was ejected after failures");
             }
             (Eligibility::Ejected { .. } | Eligibility::Probing, Eligibility::WarmingUp { .. }) => {
-                tracing::info!(node = %id, "node gets work again and is warming up");
+                tracing::info!(node = %id, "node recovered and is warming up");
             }
             _ => {}
         }
         changed
     }
 
-    /// The change to announce when `entry` is offered, if it differs from what was announced. `always`: even
-    /// of a node that was never announced as active.
+    /// The change to announce for `entry`, if it differs from the last announced entry. With `always`, nodes
+    /// that were never announced as active are announced too.
     pub(super) fn announce(&mut self, entry: ReplicaEntry, always: bool) -> Option<NodeChange> {
-        // A node that never got work need not be announced as one that gets none.
+        // An inactive node need not be announced if it was never announced as active.
         let relevant = self.announced.is_some() || entry.state == ReplicaState::Active || always;
         if !relevant || self.announced.as_ref() == Some(&entry) {
             return None;
--- a/src/routing/offers.rs
+++ b/src/routing/offers.rs
@@ -1,4 +1,4 @@
-//! Which nodes are offered for each group of partitions, and with what weight.
+//! Selection of the nodes offered for each group of partitions, and their weights.
 
 use super::RoutingSettings;
 use super::node::RoutedNode;
@@ -6,7 +6,7 @@
 use crate::api::{Nanos, ReplicaId};
 use std::collections::{BTreeMap, HashMap};
 
-/// The weights of the offered nodes.
+/// Weights of the offered nodes.
 pub(super) type Weights = HashMap<ReplicaId, f64>;
 
 /// The enabled nodes that hold one group of partitions.
@@ -20,18 +20,18 @@
         usable.map(|(_, node)| node.rule.tier()).min()
     }
 
-    /// Whether a node up to this tier has worked for this time without a break.
-    fn is_proven(&self, tier: Tier, time: Nanos, now: Nanos) -> bool {
+    /// Whether a node at or below `tier` has been healthy for at least `time`.
+    fn has_stable_node(&self, tier: Tier, time: Nanos, now: Nanos) -> bool {
         let mut nodes = self.nodes.iter().map(|(_, node)| node);
         nodes.any(|node| node.rule.tier() <= tier && node.health.healthy_for(time, now))
     }
 
-    /// The highest tier in use, given the previous one and the lowest one with a usable node. It rises at
-    /// once, and falls only when a node of the lower tier has worked for a while. At the start there is no
-    /// previous one.
+    /// The highest tier to use, from the previous one (`None` at the start) and the `lowest` one with a
+    /// usable node. It rises immediately, but falls only when a node at or below `lowest` has been healthy
+    /// for `failback_delay`.
     fn next_tier(&self, previous: Option<Tier>, lowest: Tier, failback_delay: Nanos, now: Nanos) -> Tier {
         match previous {
-            Some(tier) if lowest < tier && !self.is_proven(lowest, failback_delay, now) => {
+            Some(tier) if lowest < tier && !self.has_stable_node(lowest, failback_delay, now) => {
                 let tiers = self.nodes.iter().map(|(_, node)| node.rule.tier());
                 tiers.filter(|other| *other <= tier).max().unwrap_or(lowest)
             }
@@ -40,8 +40,8 @@
     }
 }
 
-/// The weights of the offered nodes. `active_tiers` has the highest tier in use of each group, and is
-/// updated.
+/// Returns the weights of the offered nodes, and updates `active_tiers`, the highest tier in use for each
+/// group.
 pub(super) fn offered_weights(
     nodes: &BTreeMap<ReplicaId, RoutedNode>,
     settings: &RoutingSettings,
@@ -51,7 +51,7 @@
     let mut weights = Weights::new();
     for (group, active_tier) in groups(nodes, settings, active_tiers.len()).iter().zip(active_tiers) {
         let Some(lowest) = group.lowest_usable_tier() else {
-            // No node is known to work: all are tried, since a doubtful holder is better than none.
+            // Without a usable node all are offered, since a node that may have failed is better than none.
             weights.extend(group.nodes.iter().map(|(replica, node)| (*replica, node.rule.weight)));
             continue;
         };
@@ -82,7 +82,7 @@
     groups
 }
 
-/// Adds the nodes that replace ejected ones by redirect.
+/// Adds the redirect targets of ejected nodes.
 fn add_redirect_targets(
     nodes: &BTreeMap<ReplicaId, RoutedNode>,
     warm_up: Nanos,
@@ -92,7 +92,7 @@
     let ejected = nodes.values().filter(|node| node.is_enabled() && node.is_ejected());
     for target_id in ejected.filter_map(|node| node.rule.redirect.as_deref()) {
         let target = nodes.iter().find(|(_, node)| node.listed.id == target_id);
-        if let Some((replica, node)) = target.filter(|(_, node)| node.may_replace()) {
+        if let Some((replica, node)) = target.filter(|(_, node)| node.can_be_redirect_target()) {
             let share = node.health.weight_share(warm_up, now);
             weights.entry(*replica).or_insert(node.rule.weight.max(f64::MIN_POSITIVE) * share);
         }
--- a/src/routing/rule.rs
+++ b/src/routing/rule.rs
@@ -9,43 +9,42 @@
     /// It gets work.
     #[default]
     Active,
-    /// It gets only sticky work. No query is sticky here, so it gets nothing new; it may be a redirect's
-    /// target.
+    /// It gets only sticky work. No query is sticky, so it gets no new work, except as a redirect target.
     Disabled,
-    /// It gets nothing new.
+    /// It gets no new work.
     Stopped,
-    /// It completes what is in flight and gets nothing new; it is to be removed.
+    /// It completes the work in flight and gets no new work, in preparation for its removal.
     Draining,
 }
 
-/// Whether a node is reserved until others fail.
+/// Whether a node is reserved as a spare, and of which kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Spare {
     /// It is a regular node of its set.
     #[default]
     None,
-    /// It gets work when no regular node of its set works.
+    /// It gets work when no regular node of its set is usable.
     Hot,
-    /// It gets work when no regular node and no hot spare of its set works.
+    /// It gets work when no regular node and no hot spare of its set is usable.
     Standby,
 }
 
 /// The operator's rule for a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Its administrative state.
+    /// Administrative state of the node.
     pub admin_state: AdminState,
-    /// Weight of its share of the work among the nodes of its set; 0: no work.
+    /// Relative share of work among the nodes of its set; 0 for no work.
     pub weight: f64,
-    /// Its set. Sets are used in the order of their numbers, the next one only if no node of the earlier ones
-    /// works.
+    /// Set of the node. Sets are used in ascending order; a set is used only if no node of the earlier ones
+    /// is usable.
     pub set: u32,
-    /// Whether it is reserved until others fail.
+    /// Whether the node is reserved as a spare.
     pub spare: Spare,
-    /// Id of the node that replaces it while it is ejected; that one is offered even if it is a spare.
+    /// Id of the node that replaces this one while it is ejected; it is offered even if it is a spare.
     pub redirect: Option<String>,
-    /// Length of an ejection, ns; then it is probed.
+    /// Length of an ejection, after which the node is probed, ns.
     pub retry: Nanos,
 }
 
@@ -63,7 +62,7 @@
 }
 
 impl Rule {
-    /// Whether it has no effect on what is offered.
+    /// Whether the rule has no effect on which nodes are offered and at which weight.
     #[must_use]
     pub fn is_plain(&self) -> bool {
         *self == Rule { retry: self.retry, ..Rule::default() }
@@ -75,7 +74,7 @@
     }
 }
 
-/// Place in the order in which nodes are used: lower ones first.
+/// Priority of a node, by set and then by spare: lower tiers are used first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Tier {
     set: u32,
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! All routed nodes, and the changes to announce of them.
+//! The table of routed nodes, and the changes to announce for them.
 
 use super::node::RoutedNode;
 use super::offers::offered_weights;
@@ -13,33 +13,33 @@
 pub struct RoutingSettings {
     /// How partitions are assigned to cells.
     pub layout: PartitionLayout,
-    /// Rules by node id; a node without one has the default.
+    /// Rules by node id; a node without a rule has the default one.
     pub rules: HashMap<String, Rule>,
-    /// Time in which a node that was ejected returns to its full weight, ns.
+    /// Length of the warm-up in which a node that was ejected returns to its full weight, ns.
     pub warm_up: Nanos,
-    /// Time for which a node must have worked before the nodes that replaced it are withdrawn, ns: against
-    /// flapping.
+    /// Time for which a node must have been healthy before the nodes that replaced it are withdrawn, ns. It
+    /// prevents flapping.
     pub failback_delay: Nanos,
 }
 
-/// Shortest time between two reconciliations while time alone changes what is offered, ns.
+/// Shortest interval between reconciliations that are due to the passing of time only, ns.
 const MIN_RECONCILE_INTERVAL: Nanos = 50_000_000;
 
-/// The offered nodes and their weights.
+/// Tracks the routed nodes, and determines which are offered and at which weight.
 #[derive(Debug)]
 pub struct Routing {
     settings: RoutingSettings,
     nodes: BTreeMap<ReplicaId, RoutedNode>,
-    /// The highest tier in use, for each group of partitions with the same holders.
+    /// The highest tier in use for each group of partitions that are held by the same nodes.
     active_tiers: Vec<Option<Tier>>,
     changes: Vec<NodeChange>,
-    /// An update of membership was received that [`Routing::take_changes`] has not reported.
+    /// Whether an update from membership was received since the last [`Routing::take_changes`].
     unreported_update: bool,
     dirty: bool,
 }
 
 impl Routing {
-    /// Routing without nodes.
+    /// Creates a table without nodes.
     #[must_use]
     pub fn new(settings: RoutingSettings) -> Routing {
         let groups = settings.layout.cells.max(1) as usize;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Replaces the rules. Work in flight continues; nodes that are stopped get nothing new.
+    /// Replaces the rules. Work in flight continues; nodes that the new rules stop get no new work.
     pub fn set_rules(&mut self, rules: HashMap<String, Rule>, now: Nanos) {
         self.settings.rules = rules;
         for node in self.nodes.values_mut() {
@@ -86,7 +86,7 @@
 
     /// Records the outcome of an attempt at a node.
     pub fn on_attempt_end(&mut self, replica: ReplicaId, outcome: Outcome, now: Nanos) {
-        // Without rules only the policy considers failures.
+        // Without rules, only the policy handles failures.
         if self.settings.rules.is_empty() {
             return;
         }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Handles deadlines up to `now`.
+    /// Applies the transitions that are due by `now`.
     pub fn tick(&mut self, now: Nanos) {
         if self.settings.rules.is_empty() {
             return;
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Whether time alone changes what is offered: a node warms up, or must work for a while before it
-    /// replaces others.
+    /// Whether offers can change by the passing of time only: a node is warming up, or must stay healthy for
+    /// the failback delay before it replaces others.
     fn depends_on_time(&self) -> bool {
         let is_warming_up =
             |node: &RoutedNode| matches!(node.health.eligibility(), Eligibility::WarmingUp { .. });
@@ -124,7 +124,7 @@
         enabled.map(|node| node.rule.tier()).min().unwrap_or_default()
     }
 
-    /// When [`Routing::tick`] must be called next, if time alone changes anything.
+    /// When [`Routing::tick`] must be called next, if the passing of time can change anything.
     #[must_use]
     pub fn next_deadline(&self, now: Nanos) -> Option<Nanos> {
         if self.settings.rules.is_empty() {
@@ -152,8 +152,8 @@
         }
     }
 
-    /// The changes to announce to the engine: none if there is nothing to announce, an empty list if
-    /// membership sent an update that changed nothing.
+    /// Removes and returns the changes to announce to the engine: `None` if there is nothing to announce, an
+    /// empty list if an update from membership changed nothing.
     pub fn take_changes(&mut self) -> Option<Vec<NodeChange>> {
         let updated = std::mem::take(&mut self.unreported_update);
         (updated || !self.changes.is_empty()).then(|| std::mem::take(&mut self.changes))
