--- a/src/engine/query_engine.rs
+++ b/src/engine/query_engine.rs
@@ -140,7 +140,7 @@
 
     /// Sets the time by which all queries end, both the open ones and those submitted later. A graceful
     /// shutdown needs this because a query that is open when the process exits gets no outcome.
-    pub fn end_all_by(&mut self, deadline: Nanos) {
+    pub fn set_shutdown_deadline(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline;
         for id in self.timers.take_queries_after(deadline) {
             if let Some(query) = self.queries.get_mut(id) {
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -127,7 +127,7 @@
                 context.net.stop_listening(*owner, self.drain.has_successor());
             }
             // Queries that are accepted from now on must be answered before the process may be killed.
-            context.engine.end_all_by(self.drain.answer_by(now));
+            context.engine.set_shutdown_deadline(self.drain.answer_by(now));
         }
         if phase >= DrainPhase::ClosingIdle && now >= self.next_idle_scan {
             self.next_idle_scan = now + IDLE_SCAN_INTERVAL;
--- a/tests/query_engine.rs
+++ b/tests/query_engine.rs
@@ -190,7 +190,7 @@
     let mut harness = EngineHarness::new(|_| {});
     harness.submit(&[0], 2 * S).unwrap();
     let start = harness.now;
-    harness.engine.end_all_by(start + 500 * MS);
+    harness.engine.set_shutdown_deadline(start + 500 * MS);
     harness.submit(&[1], 2 * S).unwrap();
     harness.run_until(start + 3 * S);
     let ends: Vec<Nanos> = harness.outcomes.iter().map(|f| f.1).collect();
--- a/tests/recorded_decisions/engine.rs
+++ b/tests/recorded_decisions/engine.rs
@@ -167,7 +167,7 @@
             _ => {}
         }
         if step == END_SET_AT {
-            self.exchange.end_all_by(self.now + END_AFTER);
+            self.exchange.set_shutdown_deadline(self.now + END_AFTER);
         }
     }
 
