--- a/src/config/operator/nodes.rs
+++ b/src/config/operator/nodes.rs
@@ -86,7 +86,7 @@
 
 /// The rules of routing of these nodes by id; none at all where every node has the default one.
 pub fn rules<'a>(nodes: impl Iterator<Item = &'a Node> + Clone) -> HashMap<String, Rule> {
-    if nodes.clone().all(|n| n.rule().is_plain()) {
+    if nodes.clone().all(|n| n.rule().has_no_effect()) {
         return HashMap::new();
     }
     nodes.map(|n| (n.id.clone(), n.rule())).collect()
--- a/src/routing/rule.rs
+++ b/src/routing/rule.rs
@@ -64,7 +64,7 @@
 impl Rule {
     /// Whether the rule has no effect on which nodes are offered and at which weight.
     #[must_use]
-    pub fn is_plain(&self) -> bool {
+    pub fn has_no_effect(&self) -> bool {
         *self == Rule { retry: self.retry, ..Rule::default() }
     }
 
