--- a/tests/query_engine.rs
+++ b/tests/query_engine.rs
@@ -1,4 +1,4 @@
-//! The query engine without sockets and without waiting: time is an argument.
+//! Tests of the query engine without sockets. Time is an argument, so nothing waits.
 
 mod common;
 use common::{MS, S, line, settings};
@@ -33,7 +33,7 @@
         harness
     }
 
-    /// Runs all that is due until then.
+    /// Advances the engine through all its deadlines up to `until`, and collects its actions.
     fn run_until(&mut self, until: Nanos) {
         loop {
             let next = self.engine.next_deadline().unwrap_or(Nanos::MAX).clamp(self.now, until);
@@ -84,7 +84,7 @@
 #[test]
 fn a_query_gets_one_answer_with_values_in_the_requested_order() {
     let mut harness = EngineHarness::new(|_| {});
-    let q = harness.submit(&[4, 0, 2], 2 * S).unwrap();
+    let query = harness.submit(&[4, 0, 2], 2 * S).unwrap();
     for n in 0..3 {
         let shard = harness.sent[n].1.shard;
         harness.end_attempt(n, Outcome::Ok, Some(shard * 10));
@@ -95,7 +95,7 @@
     let [(id, at, answer)] = &harness.outcomes[..] else { panic!("{:?}", harness.outcomes) };
     assert_eq!(
         (*id, answer),
-        (q, &QueryOutcome::Answered(Answer { complete: true, values, requested_parts: 3 }))
+        (query, &QueryOutcome::Answered(Answer { complete: true, values, requested_parts: 3 }))
     );
     assert!(*at < 50 * MS && harness.engine.open_queries() == 0);
 }
@@ -123,7 +123,10 @@
     let first = harness.engine.next_deadline().unwrap();
     harness.run_until(first);
     harness.engine.submit(first, request).unwrap();
-    assert!(harness.engine.next_deadline().unwrap() >= first + 50 * MS, "the next round waits for its tick");
+    assert!(
+        harness.engine.next_deadline().unwrap() >= first + 50 * MS,
+        "the next round starts one interval later"
+    );
     assert!(harness.calls.iter().all(|n| *n <= 2) && harness.calls.contains(&2), "{:?}", harness.calls);
 }
 
@@ -132,9 +135,9 @@
     let mut harness = EngineHarness::new(|_| {});
     for time_left in [30 * MS, 200 * MS, 2 * S] {
         let start = harness.now;
-        let q = harness.submit(&[0, 1], time_left).unwrap();
+        let query = harness.submit(&[0, 1], time_left).unwrap();
         harness.run_until(start + 4 * S);
-        let ends: Vec<Nanos> = harness.outcomes.iter().filter(|f| f.0 == q).map(|f| f.1).collect();
+        let ends: Vec<Nanos> = harness.outcomes.iter().filter(|f| f.0 == query).map(|f| f.1).collect();
         assert!(matches!(ends[..], [at] if at < start + time_left), "{ends:?}");
     }
     assert_eq!((harness.engine.open_queries(), harness.engine.attempts_in_flight()), (0, 0));
@@ -149,14 +152,14 @@
     assert_ne!(
         harness.submit(&[3, 4], 2 * S).unwrap_err(),
         rejected,
-        "not all are told to come back together"
+        "Retry-After times differ between rejections"
     );
     harness.engine.client_disconnected(first);
     harness.run_until(harness.now + 20 * MS);
-    assert!(harness.outcomes.is_empty(), "nobody is there to be answered");
+    assert!(harness.outcomes.is_empty(), "a disconnected client gets no outcome");
     assert!(
-        harness.sent.iter().all(|(_, d)| harness.cancelled.contains(&d.attempt)),
-        "all that was out is given up"
+        harness.sent.iter().all(|(_, request)| harness.cancelled.contains(&request.attempt)),
+        "all attempts in flight are cancelled"
     );
     assert!(harness.submit(&[3, 4], 2 * S).is_ok());
 }
@@ -168,11 +171,12 @@
     harness.submit(&[0, 3], 2 * S).unwrap();
     harness.end_attempt(0, Outcome::Ok, None);
     harness.run_until(harness.now + 50 * MS);
-    let again = harness.sent.iter().rposition(|(_, d)| d.shard == harness.sent[0].1.shard).unwrap();
-    assert!(again > 1, "a part without a value is tried elsewhere");
-    harness.end_attempt(again, Outcome::Ok, Some(7));
+    let retry =
+        harness.sent.iter().rposition(|(_, request)| request.shard == harness.sent[0].1.shard).unwrap();
+    assert!(retry > 1, "a part without a value gets another attempt");
+    harness.end_attempt(retry, Outcome::Ok, Some(7));
     harness.run_until(3 * S);
-    let late = harness.sent.iter().position(|(_, d)| d.shard != harness.sent[0].1.shard).unwrap();
+    let late = harness.sent.iter().position(|(_, request)| request.shard != harness.sent[0].1.shard).unwrap();
     harness.end_attempt(late, Outcome::Ok, Some(8));
     harness.run_until(4 * S);
     let shard = harness.sent[0].1.shard;
@@ -200,58 +204,58 @@
 
 #[test]
 fn a_queued_attempt_is_not_begun_once_a_hedge_has_answered() {
-    // Nothing is cancelled here: only the second look keeps it from being sent.
+    // The policy may not cancel attempts here, so only the check in `begin_attempt` prevents the send.
     let mut harness = EngineHarness::new(|s| s.may_cancel = false);
     harness.submit(&[0, 3], 2 * S).unwrap();
-    let waits = harness.sent.iter().position(|(_, d)| d.shard == 0).unwrap();
-    harness.engine.attempt_queued(harness.sent[waits].1.attempt);
-    let copy = loop {
-        if let Some(n) = (waits + 1..harness.sent.len()).find(|n| harness.sent[*n].1.shard == 0) {
+    let queued = harness.sent.iter().position(|(_, request)| request.shard == 0).unwrap();
+    harness.engine.attempt_queued(harness.sent[queued].1.attempt);
+    let hedge = loop {
+        if let Some(n) = (queued + 1..harness.sent.len()).find(|n| harness.sent[*n].1.shard == 0) {
             break n;
         }
-        assert!(harness.now < 2 * S, "no copy was sent");
+        assert!(harness.now < 2 * S, "no hedge was sent");
         harness.run_until(harness.now + 5 * MS);
     };
-    assert!(harness.engine.begin_attempt(harness.now, harness.sent[copy].1.attempt));
-    harness.end_attempt(copy, Outcome::Ok, Some(7));
-    assert!(!harness.engine.begin_attempt(harness.now, harness.sent[waits].1.attempt));
+    assert!(harness.engine.begin_attempt(harness.now, harness.sent[hedge].1.attempt));
+    harness.end_attempt(hedge, Outcome::Ok, Some(7));
+    assert!(!harness.engine.begin_attempt(harness.now, harness.sent[queued].1.attempt));
 }
 
-/// Nothing of an attempt could be written after all: it has not started, and is looked at again before it does.
+/// An attempt of which no byte could be written has not started, and is checked again before it starts.
 #[test]
 fn a_deferred_attempt_is_not_begun_once_its_server_drains() {
     for drains in [true, false] {
         let mut harness = EngineHarness::new(|s| s.classes[0].idempotency = Idempotency::NonIdempotent);
         harness.submit(&[0], 2 * S).unwrap();
-        let (replica, dispatch) = harness.sent[0].clone();
-        harness.engine.attempt_queued(dispatch.attempt);
-        assert!(harness.engine.begin_attempt(harness.now, dispatch.attempt));
-        harness.engine.attempt_deferred(dispatch.attempt);
+        let (replica, request) = harness.sent[0].clone();
+        harness.engine.attempt_queued(request.attempt);
+        assert!(harness.engine.begin_attempt(harness.now, request.attempt));
+        harness.engine.attempt_deferred(request.attempt);
         if drains {
             harness.engine.update_endpoints(false, vec![line(replica.0, ReplicaState::Draining, None)]);
         }
-        // Of a class without repeats, one that had started could not start again.
-        assert_eq!(harness.engine.begin_attempt(harness.now, dispatch.attempt), !drains);
+        // In a non-idempotent class, an attempt that had started could not start again.
+        assert_eq!(harness.engine.begin_attempt(harness.now, request.attempt), !drains);
     }
 }
 
 #[test]
 fn a_queued_attempt_past_its_timeout_is_not_begun_and_counts_as_not_sent() {
-    for asked in [true, false] {
+    for connection_opens in [true, false] {
         let mut harness = EngineHarness::new(|s| s.classes[0].idempotency = Idempotency::NonIdempotent);
         harness.submit(&[0], 2 * S).unwrap();
-        let dispatch = harness.sent[0].1.clone();
-        harness.engine.attempt_queued(dispatch.attempt);
-        // The connection comes up before the time-out is looked at, or it never does.
-        if asked {
-            assert!(!harness.engine.begin_attempt(harness.now + dispatch.timeout, dispatch.attempt));
+        let request = harness.sent[0].1.clone();
+        harness.engine.attempt_queued(request.attempt);
+        // The connection opens after the time-out but before the engine handles it, or never opens.
+        if connection_opens {
+            assert!(!harness.engine.begin_attempt(harness.now + request.timeout, request.attempt));
         } else {
-            harness.run_until(harness.now + dispatch.timeout);
+            harness.run_until(harness.now + request.timeout);
         }
         assert_eq!(
             harness.engine.next_attempt_end().map(|e| e.outcome),
             Some(Outcome::NotSent),
-            "asked: {asked}"
+            "connection_opens: {connection_opens}"
         );
     }
 }
