--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,10 +6,10 @@
 const OVERRUN_MULTIPLE_MIN: f64 = 0.4;
 const OVERRUN_MULTIPLE_MAX: f64 = 2.5;
 const OVERRUN_STEP: f64 = 0.1;
-const LEAST_OBJECTIVE_SHARE: f64 = 0.75;
+const MIN_OBJECTIVE_SHARE: f64 = 0.75;
 const SAME_TIMEOUT_DEADLINE_SHARE: f64 = 0.01;
 const RETRY_AFTER_MEAN_OBJECTIVES: f64 = 0.25;
-const WAIT_MIN_LATE_WEIGHT: f64 = 0.2;
+const LATE_SEND_MIN_WEIGHT: f64 = 0.2;
 
 /// Token bucket of one tenant at this broker.
 pub(super) struct TenantQuota {
@@ -46,8 +46,8 @@
             0 => *self = UsualTimeout { timeout: time_left, votes: 1 },
             votes => self.votes = votes - 1,
         }
-        let impatient = time_left < class.latency_objective && !is_retry;
-        let first = same || self.votes <= 1 || impatient;
+        let is_short_timeout = time_left < class.latency_objective && !is_retry;
+        let first = same || self.votes <= 1 || is_short_timeout;
         if first { 0 } else { class.deadline.saturating_sub(time_left) }
     }
 }
@@ -68,7 +68,7 @@
             received_at: self.now,
             expected_latency: None,
             objective_at,
-            send_until: if c.late_weight < WAIT_MIN_LATE_WEIGHT { objective_at } else { deadline },
+            send_until: if c.late_weight < LATE_SEND_MIN_WEIGHT { objective_at } else { deadline },
             deadline,
             expected_parts: *parts,
             step: 0,
@@ -90,42 +90,47 @@
     }
 
     pub(super) fn admit(&mut self, job: u64) -> bool {
-        let rank = self.rank(job);
+        let priority = self.relative_priority(job);
         let q = &self.queries[&job];
         let class = &self.settings.classes[q.class];
         let down = |r: &Replica| !r.on_trial && r.ejected.as_ref().is_some_and(|e| e.process_down);
         let down = |id: &ReplicaId| down(&self.replicas[id]);
-        let lost = q.parts.iter().filter(|p| self.replicas_of_shard(p.shard).iter().all(down));
-        let lost_share = lost.map(|p| p.weight).sum::<f64>();
-        let may_lose = 1.0 - class.min_answer_share.min(class.complete_share) + WEIGHT_SUM_TOLERANCE;
-        let unanswerable = lost_share > may_lose;
+        let unavailable = q.parts.iter().filter(|p| self.replicas_of_shard(p.shard).iter().all(down));
+        let unavailable_share = unavailable.map(|p| p.weight).sum::<f64>();
+        let tolerated_share = 1.0 - class.min_answer_share.min(class.complete_share) + WEIGHT_SUM_TOLERANCE;
+        let unanswerable = unavailable_share > tolerated_share;
         let fastest = |p: &Part| {
             let replicas = self.replicas_of_shard(p.shard).into_iter();
-            let sound = replicas.filter(|id| self.replicas[id].ejected.is_none());
-            sound.map(|id| self.expected_latency(id)).reduce(f64::min)
+            let healthy = replicas.filter(|id| self.replicas[id].ejected.is_none());
+            healthy.map(|id| self.expected_latency(id)).reduce(f64::min)
         };
         let slowest = q.parts.iter().filter_map(fastest).fold(0.0, f64::max);
-        let usable = (LEAST_OBJECTIVE_SHARE + (1.0 - LEAST_OBJECTIVE_SHARE) * rank) / self.overrun_multiple;
-        let time = (q.objective_at - self.now) as f64 * usable;
+        let usable_share =
+            (MIN_OBJECTIVE_SHARE + (1.0 - MIN_OBJECTIVE_SHARE) * priority) / self.overrun_multiple;
+        let latency_limit = (q.objective_at - self.now) as f64 * usable_share;
         // A retry with little of its objective left is no sign of overload.
-        if !unanswerable && slowest > time.max(class.latency_objective as f64 * usable) {
+        if !unanswerable && slowest > latency_limit.max(class.latency_objective as f64 * usable_share) {
             self.last_overload_at = Some(self.now);
         }
         self.queries.entry(job).and_modify(|q| q.expected_latency = Some(slowest));
-        !unanswerable && slowest <= time
+        !unanswerable && slowest <= latency_limit
     }
 
     /// Priority weight per part, relative to the best class and reduced beyond the tenant's quota.
-    fn rank(&mut self, job: u64) -> f64 {
+    fn relative_priority(&mut self, job: u64) -> f64 {
         let q = &self.queries[&job];
         self.mean_parts[q.class] += EWMA_WEIGHT * (q.parts.len() as f64 - self.mean_parts[q.class]);
         let weight_per_part = |(c, parts): (&Class, &f64)| c.priority_weight / parts.max(1.0);
         let classes = self.settings.classes.iter().zip(&self.mean_parts);
         let best = classes.map(weight_per_part).fold(f64::MIN_POSITIVE, f64::max);
-        let rank = weight_per_part((&self.settings.classes[q.class], &self.mean_parts[q.class])) / best;
-        let Some(tenant) = q.tenant.filter(|t| *t < self.quotas.len()) else { return rank };
+        let priority = weight_per_part((&self.settings.classes[q.class], &self.mean_parts[q.class])) / best;
+        let Some(tenant) = q.tenant.filter(|t| *t < self.quotas.len()) else { return priority };
         let rate = self.settings.tenants[tenant].quota_per_s / self.settings.brokers.max(1) as f64;
-        if self.quotas[tenant].take(rate, self.now) { rank } else { rank * self.settings.over_quota_weight }
+        if self.quotas[tenant].take(rate, self.now) {
+            priority
+        } else {
+            priority * self.settings.over_quota_weight
+        }
     }
 
     pub(super) fn record_overrun(&mut self, job: u64) {
@@ -138,8 +143,8 @@
     }
 
     pub(super) fn rejection(&mut self, query: RequestId) -> Action {
-        let longest = if self.settings.may_send_retry_after { self.settings.max_retry_after } else { 0 };
+        let max_wait = if self.settings.may_send_retry_after { self.settings.max_retry_after } else { 0 };
         let wait = 2.0 * uniform(&mut self.rng) * RETRY_AFTER_MEAN_OBJECTIVES * self.fleet.objective;
-        Action::Reject { query, retry_after: longest.min(wait as Nanos) }
+        Action::Reject { query, retry_after: max_wait.min(wait as Nanos) }
     }
 }
--- a/src/policy/answer.rs
+++ b/src/policy/answer.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 pub(super) const WEIGHT_SUM_TOLERANCE: f64 = 1e-5;
-const PRESSURE_SHARE: f64 = 0.9;
+const NEAR_CAPACITY_SHARE: f64 = 0.9;
 
 impl Balancer {
     pub(super) fn end_attempt(&mut self, ended: &SentAttempt, outcome: Outcome, actions: &mut Vec<Action>) {
@@ -28,33 +28,35 @@
         let (late, expired) = (self.now >= q.objective_at, self.now >= q.deadline);
         let parts: Vec<&Part> = q.parts.iter().filter(|p| p.step == step).collect();
         let share = parts.iter().filter(|p| p.answered).map(|p| p.weight).sum::<f64>() + WEIGHT_SUM_TOLERANCE;
-        let (empty, all_came) = (parts.is_empty(), parts.len() >= q.expected_parts as usize);
-        let all = parts.iter().all(|p| p.answered) && all_came && !empty;
+        let (empty, all_received) = (parts.is_empty(), parts.len() >= q.expected_parts as usize);
+        let all = parts.iter().all(|p| p.answered) && all_received && !empty;
         let complete = (all && q.complete) || (step == 0 && share >= class.complete_share);
         let partial = step == 0 || class.min_answer_share < class.complete_share;
         let enough = if partial { share >= class.min_answer_share.min(class.complete_share) } else { all };
         // Nothing is in flight and nothing more will be sent: waiting would only delay the client's retry.
-        let spent =
+        let exhausted =
             |p: &Part| p.attempts.len() as u32 >= self.settings.max_attempts || self.now >= q.send_until;
         let may_send = |p: &Part| self.may_run_again(p, class) && !self.replicas_of_shard(p.shard).is_empty();
-        let pending = |p: &Part| p.in_flight().next().is_some() || (!spent(p) && may_send(p));
-        let stuck = !all && parts.iter().all(|p| p.answered || !pending(p));
+        let pending = |p: &Part| p.in_flight().next().is_some() || (!exhausted(p) && may_send(p));
+        let nothing_pending = !all && parts.iter().all(|p| p.answered || !pending(p));
         let never_ran = parts.iter().flat_map(|p| &p.attempts).all(|a| a.state == AttemptState::NeverRan);
-        let may_reject = stuck && !expired && (class.idempotency == Idempotency::Idempotent || never_ran);
+        let may_reject =
+            nothing_pending && !expired && (class.idempotency == Idempotency::Idempotent || never_ran);
         if complete || late {
             self.record_overrun(job);
         }
-        let finished = complete || (step > 0 && all) || ((late || stuck) && enough);
+        let finished = complete || (step > 0 && all) || ((late || nothing_pending) && enough);
         // Late answers are worth waiting for only while there is room for other queries.
-        let full = self.tracked_requests as f64 > PRESSURE_SHARE * self.settings.max_in_flight as f64;
+        let near_capacity =
+            self.tracked_requests as f64 > NEAR_CAPACITY_SHARE * self.settings.max_in_flight as f64;
         if finished && !empty {
             actions.push(Action::Answer { query, complete });
-            let first_of_two = |q: &&mut Query| q.step == 0 && class.fetch_parts > 0;
-            match self.queries.get_mut(&job).filter(first_of_two) {
+            let has_second_step = |q: &&mut Query| q.step == 0 && class.fetch_parts > 0;
+            match self.queries.get_mut(&job).filter(has_second_step) {
                 Some(q) => (q.step, q.complete, q.admitted, q.expected_parts) = (1, complete, false, 1),
                 None => self.remove_query(job, actions),
             }
-        } else if !(expired || (late && full) || (stuck && !empty)) {
+        } else if !(expired || (late && near_capacity) || (nothing_pending && !empty)) {
             return false;
         } else {
             self.remove_query(job, actions);
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -103,8 +103,8 @@
             Event::EndpointList { full, entries } => self.on_endpoint_list(*full, entries),
             Event::WatchFailed => {
                 let backoff = self.poll_backoff * (0.5 + uniform(&mut self.rng));
-                let longest = self.settings.max_poll_interval as f64 * POLL_BACKOFF_MAX_SHARE;
-                self.poll_backoff = (self.poll_backoff * 2.0).min(longest);
+                let max_backoff = self.settings.max_poll_interval as f64 * POLL_BACKOFF_MAX_SHARE;
+                self.poll_backoff = (self.poll_backoff * 2.0).min(max_backoff);
                 self.poll_at = Some(self.now + backoff as Nanos);
             }
             Event::ListUnconfirmed { since, lease_end, proof_lifetime } => {
@@ -150,16 +150,16 @@
             r.listed &= !full;
             r.removed |= full;
         }
-        let light_load_latency = START_LATENCY_OBJECTIVES * self.fleet.objective;
-        let unknown = || Replica { light_load_latency, latency_ratio: 1.0, ..Replica::default() };
+        let light_load_latency = INITIAL_LATENCY_OBJECTIVES * self.fleet.objective;
+        let new_replica = || Replica { light_load_latency, latency_ratio: 1.0, ..Replica::default() };
         for entry in entries {
-            let r = self.replicas.entry(entry.replica).or_insert_with(unknown);
+            let r = self.replicas.entry(entry.replica).or_insert_with(new_replica);
             r.cell = entry.cell;
             r.weight = entry.weight;
             r.listed = entry.state == ReplicaState::Active;
             r.removed = entry.state == ReplicaState::Removed;
-            let lately = |t: &Nanos| t.saturating_add(self.settings.slow_start_time) > self.now;
-            if entry.started.filter(lately) > r.warming_since {
+            let is_recent = |t: &Nanos| t.saturating_add(self.settings.slow_start_time) > self.now;
+            if entry.started.filter(is_recent) > r.warming_since {
                 r.start_warming(entry.started);
             }
         }
--- a/src/policy/latency_estimate.rs
+++ b/src/policy/latency_estimate.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-pub(super) const START_LATENCY_OBJECTIVES: f64 = 0.1;
+pub(super) const INITIAL_LATENCY_OBJECTIVES: f64 = 0.1;
 const FLEET_SAMPLE_CLIP_MULTIPLE: f64 = 2.0;
 const FLEET_DECAY_OBJECTIVES: f64 = 1.5;
 const LIGHT_LOAD_SAMPLES: f64 = 2.0;
@@ -25,7 +25,8 @@
 
 impl FleetLatency {
     pub(super) fn new(objective: f64, now: Nanos) -> Self {
-        let (mean, ratio_decay) = (START_LATENCY_OBJECTIVES * objective, RATIO_DECAY_OBJECTIVES * objective);
+        let (mean, ratio_decay) =
+            (INITIAL_LATENCY_OBJECTIVES * objective, RATIO_DECAY_OBJECTIVES * objective);
         FleetLatency { objective, mean, ratio_decay, last_answer_at: now, ..Default::default() }
     }
 
@@ -46,10 +47,11 @@
     }
 
     /// Without answers the mean drifts to light load, or a broker that rejects all would reject for ever.
-    pub(super) fn update(&mut self, light_load: impl Iterator<Item = f64>) {
-        let (sum, listed) = light_load.fold((0.0, 0.0), |(sum, n), latency| (sum + latency, n + 1.0));
-        let least_decay = RATIO_DECAY_OBJECTIVES * self.objective;
-        self.ratio_decay = least_decay.max(RATIO_DECAY_ANSWER_GAPS * self.answer_gap * listed);
+    pub(super) fn update(&mut self, light_load_latencies: impl Iterator<Item = f64>) {
+        let (sum, listed) =
+            light_load_latencies.fold((0.0, 0.0), |(sum, n), latency| (sum + latency, n + 1.0));
+        let min_decay = RATIO_DECAY_OBJECTIVES * self.objective;
+        self.ratio_decay = min_decay.max(RATIO_DECAY_ANSWER_GAPS * self.answer_gap * listed);
         let light = if listed > 0.0 { sum / listed } else { self.mean };
         self.mean = (self.sum + LIGHT_LOAD_SAMPLES * light) / (self.samples + LIGHT_LOAD_SAMPLES);
     }
--- a/src/policy/list_lease.rs
+++ b/src/policy/list_lease.rs
@@ -8,7 +8,7 @@
 use super::*;
 
 /// Time after which a replica that has accepted attempts since is taken for an overloaded one again, ns.
-const OVERLOAD_SUSPICION: Nanos = 10_000_000_000;
+const DRAIN_SUSPICION_AFTER_ACCEPT: Nanos = 10_000_000_000;
 /// The same for one that has accepted none: a drain is over by then, however long its attempts take.
 const DRAIN_SUSPICION: Nanos = 60_000_000_000;
 
@@ -28,17 +28,17 @@
 
 impl ListLease {
     /// Whether a replica accepted an attempt that shows that it does not drain.
-    fn is_proven(&self, r: &Replica, now: Nanos) -> bool {
+    fn is_proven_active(&self, r: &Replica, now: Nanos) -> bool {
         r.newest_answered_send >= self.unconfirmed_since.max(now.saturating_sub(self.proof_lifetime))
     }
 
     /// Whether a replica has turned its last attempts away, as one that drains does.
-    fn is_suspect(&self, r: &Replica, now: Nanos) -> bool {
+    fn may_be_draining(&self, r: &Replica, now: Nanos) -> bool {
         let recent = self.unconfirmed_since.saturating_sub(LOST_REPORT_AGE);
-        let is_refusing = r.newest_refused_send >= recent.max(r.newest_answered_send);
+        let is_rejecting = r.newest_rejected_send >= recent.max(r.newest_answered_send);
         let has_accepted_since = r.newest_answered_send >= self.unconfirmed_since;
-        let lifetime = if has_accepted_since { OVERLOAD_SUSPICION } else { DRAIN_SUSPICION };
-        is_refusing && now < self.unconfirmed_since + lifetime && !self.is_proven(r, now)
+        let max_suspicion = if has_accepted_since { DRAIN_SUSPICION_AFTER_ACCEPT } else { DRAIN_SUSPICION };
+        is_rejecting && now < self.unconfirmed_since + max_suspicion && !self.is_proven_active(r, now)
     }
 }
 
@@ -49,16 +49,16 @@
 
     /// Whether a replica may drain without this broker knowing.
     pub(super) fn may_be_draining(&self, id: ReplicaId) -> bool {
-        self.expired_lease().is_some_and(|lease| lease.is_suspect(&self.replicas[&id], self.now))
+        self.expired_lease().is_some_and(|lease| lease.may_be_draining(&self.replicas[&id], self.now))
     }
 
     /// Drops the replicas of a shard that may drain, if the lease is over.
-    pub(super) fn drop_suspects(&self, replicas: &mut Vec<ReplicaId>) {
+    pub(super) fn remove_possibly_draining(&self, replicas: &mut Vec<ReplicaId>) {
         let Some(lease) = self.expired_lease() else { return };
         let is_usable = |r: &Replica| r.accepts_part() && r.ejected.is_none();
-        let is_suspect = |id: &ReplicaId| lease.is_suspect(&self.replicas[id], self.now);
-        if replicas.iter().any(|id| is_usable(&self.replicas[id]) && !is_suspect(id)) {
-            return replicas.retain(|id| !is_suspect(id));
+        let may_be_draining = |id: &ReplicaId| lease.may_be_draining(&self.replicas[id], self.now);
+        if replicas.iter().any(|id| is_usable(&self.replicas[id]) && !may_be_draining(id)) {
+            return replicas.retain(|id| !may_be_draining(id));
         }
         // All turn attempts away. One that drains has done so for longest.
         let last_to_accept = replicas.iter().copied().max_by_key(|id| self.replicas[id].newest_answered_send);
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -16,14 +16,14 @@
         // Overtaken by later sends, the part is costly rather than the replica slow.
         let overtaken = r.newest_answered_send > ended.sent_at;
         let lost = overtaken && age > LOST_LATENCY_MULTIPLE * mean;
-        let limit = if overtaken && age > 2.0 * mean { mean } else { f64::INFINITY };
+        let sample_limit = if overtaken && age > 2.0 * mean { mean } else { f64::INFINITY };
         let failed = matches!(outcome, Outcome::Error | Outcome::InvalidResponse);
         let lost = lost && matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
         if failed || lost || outcome == Outcome::Ok {
             r.fault_rate += FAULT_EWMA_WEIGHT * (f64::from(failed || lost) - r.fault_rate);
         }
         if matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed) {
-            r.newest_refused_send = r.newest_refused_send.max(ended.sent_at);
+            r.newest_rejected_send = r.newest_rejected_send.max(ended.sent_at);
         }
         let mut sample = None;
         match outcome {
@@ -41,8 +41,9 @@
             // Perhaps load: a fast failure must not draw parts, nor a few of them read as seconds.
             Outcome::Error | Outcome::InvalidResponse | Outcome::Rejected => {
                 r.unanswered_since = None;
-                let longest = if failed { mean.max(SILENCE_FLEET_MEANS * fleet.mean) } else { f64::INFINITY };
-                let clipped = (mean * SAMPLE_CLIP_MULTIPLE).min(longest);
+                let max_sample =
+                    if failed { mean.max(SILENCE_FLEET_MEANS * fleet.mean) } else { f64::INFINITY };
+                let clipped = (mean * SAMPLE_CLIP_MULTIPLE).min(max_sample);
                 r.record_latency(clipped, ended.others_in_flight, fleet, now);
             }
             // One broken connection may have been idle; a dead process refuses the next.
@@ -52,7 +53,7 @@
             }
             Outcome::ConnectFailed | Outcome::ConnectionReset => r.eject(now, fleet.objective, true),
         }
-        if let Some(sample) = sample.map(|s| s.min(limit)) {
+        if let Some(sample) = sample.map(|s| s.min(sample_limit)) {
             r.record_latency(sample, ended.others_in_flight, fleet, now);
             fleet.record_latency(sample);
         }
--- a/src/policy/replica.rs
+++ b/src/policy/replica.rs
@@ -26,7 +26,7 @@
     pub(super) in_flight: u32,
     pub(super) newest_answered_send: Nanos,
     /// When the newest attempt was sent that it turned away, or that could not connect.
-    pub(super) newest_refused_send: Nanos,
+    pub(super) newest_rejected_send: Nanos,
     pub(super) unanswered_since: Option<Nanos>,
     pub(super) connection_broke: bool,
     pub(super) ejected: Option<Ejection>,
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -4,7 +4,7 @@
 
 const ASSUMED_OTHERS_IN_FLIGHT: f64 = 1.0;
 const SELECTION_EXPONENT: f64 = 6.0;
-const RETRIED_LOSS_OBJECTIVES: f64 = 0.3;
+const RETRIABLE_LOSS_OBJECTIVES: f64 = 0.3;
 const FINAL_LOSS_OBJECTIVES: f64 = 1.0;
 
 impl Balancer {
@@ -32,11 +32,11 @@
     /// Draws a replica for the part. Ejected ones only if all are: then the fault is rather this broker's.
     pub(super) fn select(&mut self, key: PartKey, used: &[ReplicaId], or_ejected: bool) -> Option<ReplicaId> {
         let mut replicas = self.replicas_of_shard(self.queries[&key.job].parts[key.index].shard);
-        self.drop_suspects(&mut replicas);
+        self.remove_possibly_draining(&mut replicas);
         replicas.retain(|id| !used.contains(id) && self.replicas[id].accepts_part());
-        let (sound, ejected): (Vec<ReplicaId>, _) =
+        let (healthy, ejected): (Vec<ReplicaId>, _) =
             replicas.into_iter().partition(|id| self.replicas[id].ejected.is_none());
-        let pool = if sound.is_empty() && or_ejected { ejected } else { sound };
+        let pool = if healthy.is_empty() && or_ejected { ejected } else { healthy };
         let weights = self.selection_weights(key, &pool);
         let mut x = uniform(&mut self.rng) * weights.iter().sum::<f64>();
         let drawn = pool.iter().zip(&weights).find(|(_, weight)| {
@@ -50,8 +50,8 @@
         let (q, objective) = (&self.queries[&key.job], self.fleet.objective);
         let first = q.parts[key.index].attempts.is_empty();
         let idempotency = self.settings.classes[q.class].idempotency;
-        let retried = first && idempotency != Idempotency::NonIdempotent && self.settings.max_attempts > 1;
-        let loss = objective * if retried { RETRIED_LOSS_OBJECTIVES } else { FINAL_LOSS_OBJECTIVES };
+        let retriable = first && idempotency != Idempotency::NonIdempotent && self.settings.max_attempts > 1;
+        let loss_cost = objective * if retriable { RETRIABLE_LOSS_OBJECTIVES } else { FINAL_LOSS_OBJECTIVES };
         let call = self.settings.call_work as f64;
         let work = (self.fleet.mean - call).max(call / 2.0);
         // Faults that all replicas have are no reason to choose.
@@ -61,7 +61,7 @@
             let sharing = if first && call > 0.0 { self.parts_sharing_call(key, *id).len() } else { 0 };
             let shared_call = (call / (1 + sharing) as f64 + work) / (call + work);
             let call_cost = if sharing > 0 { shared_call } else { 1.0 };
-            let cost = self.expected_latency(*id) * call_cost + (faults(id) - least_faults) * loss;
+            let cost = self.expected_latency(*id) * call_cost + (faults(id) - least_faults) * loss_cost;
             self.replicas[id].weight * (objective / cost.max(1.0)).powf(SELECTION_EXPONENT)
         };
         pool.iter().map(weight).collect()
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -49,8 +49,8 @@
         let idempotent = class.idempotency == Idempotency::Idempotent;
         let may_hedge = idempotent && self.settings.may_hedge && self.settings.max_attempts > 1;
         let shard = self.queries[&key.job].parts[key.index].shard;
-        let due = |r: &Replica| r.accepts_part() && r.ejected.is_some() && r.on_trial;
-        let may_try = |id: &ReplicaId| due(&self.replicas[id]) && !self.may_be_draining(*id);
+        let due_for_trial = |r: &Replica| r.accepts_part() && r.ejected.is_some() && r.on_trial;
+        let may_try = |id: &ReplicaId| due_for_trial(&self.replicas[id]) && !self.may_be_draining(*id);
         let on_trial = self.replicas_of_shard(shard).into_iter().find(may_try);
         let unhedged_trial = on_trial.filter(|_| !may_hedge);
         let Some(first) = unhedged_trial.or_else(|| self.select(key, &[], true)) else { return };
@@ -102,13 +102,13 @@
         let p = &q.parts[key.index];
         let used: Vec<ReplicaId> = p.attempts.iter().map(|a| a.replica).collect();
         // All attempts can be rejected within milliseconds: the last one waits until queues have moved on.
-        let sound = |id: &ReplicaId| self.replicas.get(id).is_some_and(|r| r.ejected.is_none());
-        let rejected = |a: &Attempt| a.state == AttemptState::NeverRan && sound(&a.replica);
+        let healthy = |id: &ReplicaId| self.replicas.get(id).is_some_and(|r| r.ejected.is_none());
+        let rejected = |a: &Attempt| a.state == AttemptState::NeverRan && healthy(&a.replica);
         let last = used.len() + 1 >= self.settings.max_attempts as usize && p.attempts.iter().all(rejected);
         let age = p.attempts.last().map_or(0, |a| self.now - a.sent_at) as f64;
         let urgent = q.objective_at as f64 <= self.now as f64 + 2.0 * self.fleet.mean;
-        let early = last && age < self.fleet.mean && !urgent;
-        if early || !self.may_run_again(p, class) || !self.within_retry_budget() {
+        let too_early = last && age < self.fleet.mean && !urgent;
+        if too_early || !self.may_run_again(p, class) || !self.within_retry_budget() {
             return;
         }
         if let Some(other) = self.select(key, &used, true).or_else(|| self.select(key, &[], true)) {
