--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which queries are taken, by expected latency, priority weight and tenant quota.
+//! Admission control: admits or rejects queries by expected latency, priority weight and tenant quota.
 
 use super::*;
 
@@ -36,8 +36,10 @@
 }
 
 impl UsualTimeout {
-    /// Time that a client's earlier attempts have used up: what a retry has less than the usual time-out.
-    /// A client that allows less than the objective is impatient instead: only load rejects its query.
+    /// Time that a client's earlier attempts have taken: the difference between the deadline and the time
+    /// left, if that time differs from the usual time-out. A time-out below the objective, on a query that is
+    /// not marked as a retry, is taken for a client with a short time-out instead: its query is rejected only
+    /// for load.
     pub(super) fn time_spent(&mut self, class: &Class, time_left: Nanos, is_retry: bool) -> Nanos {
         let tolerance = SAME_TIMEOUT_DEADLINE_SHARE * class.deadline as f64;
         let same = (time_left.abs_diff(self.timeout) as f64) < tolerance;
@@ -108,7 +110,7 @@
         let usable_share =
             (MIN_OBJECTIVE_SHARE + (1.0 - MIN_OBJECTIVE_SHARE) * priority) / self.overrun_multiple;
         let latency_limit = (q.objective_at - self.now) as f64 * usable_share;
-        // A retry with little of its objective left is no sign of overload.
+        // The rejection of a retry with little of its objective left does not indicate overload.
         if !unanswerable && slowest > latency_limit.max(class.latency_objective as f64 * usable_share) {
             self.last_overload_at = Some(self.now);
         }
@@ -116,7 +118,8 @@
         !unanswerable && slowest <= latency_limit
     }
 
-    /// Priority weight per part, relative to the best class and reduced beyond the tenant's quota.
+    /// Priority weight per part, relative to the class where it is highest, and reduced beyond the tenant's
+    /// quota.
     fn relative_priority(&mut self, job: u64) -> f64 {
         let q = &self.queries[&job];
         self.mean_parts[q.class] += EWMA_WEIGHT * (q.parts.len() as f64 - self.mean_parts[q.class]);
--- a/src/policy/answer.rs
+++ b/src/policy/answer.rs
@@ -1,4 +1,7 @@
-//! The end of a query: when it is answered, rejected or failed. Guards rules 1 and 5.
+//! The end of a query: when it is answered, rejected or failed.
+//!
+//! Enforces rules 1 and 5: each query gets one final outcome in time, and an answer holds only answered parts
+//! and is marked complete only if it is complete.
 
 use super::*;
 
@@ -14,14 +17,15 @@
         a.state = if never_ran { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
         if outcome == Outcome::Ok && !p.answered {
             p.answered = true;
-            // A trial runs on: its answer shows that a replica has recovered.
+            // An attempt at an ejected replica is not cancelled: its answer would show that the replica has
+            // recovered.
             let ejected = |id: &ReplicaId| self.replicas.get(id).is_some_and(|r| r.ejected.is_some());
             let others = p.in_flight().filter(|(_, a)| self.settings.may_cancel && !ejected(&a.replica));
             actions.extend(others.map(|(n, _)| Action::Cancel { part: p.id, attempt: n as u32 }));
         }
     }
 
-    /// Ends the query, or its step, if it can or must end; true if it did.
+    /// Ends the query, or its current step, if it can or must end. Returns whether it did.
     pub(super) fn finish_query(&mut self, job: u64, class: &Class, actions: &mut Vec<Action>) -> bool {
         let q = &self.queries[&job];
         let (query, step) = (q.id, q.step);
@@ -33,7 +37,7 @@
         let complete = (all && q.complete) || (step == 0 && share >= class.complete_share);
         let partial = step == 0 || class.min_answer_share < class.complete_share;
         let enough = if partial { share >= class.min_answer_share.min(class.complete_share) } else { all };
-        // Nothing is in flight and nothing more will be sent: waiting would only delay the client's retry.
+        // Nothing is in flight and no more will be sent: waiting would only delay the client's retry.
         let exhausted =
             |p: &Part| p.attempts.len() as u32 >= self.settings.max_attempts || self.now >= q.send_until;
         let may_send = |p: &Part| self.may_run_again(p, class) && !self.replicas_of_shard(p.shard).is_empty();
@@ -46,7 +50,7 @@
             self.record_overrun(job);
         }
         let finished = complete || (step > 0 && all) || ((late || nothing_pending) && enough);
-        // Late answers are worth waiting for only while there is room for other queries.
+        // A late query is kept only while there is capacity for other queries.
         let near_capacity =
             self.tracked_requests as f64 > NEAR_CAPACITY_SHARE * self.settings.max_in_flight as f64;
         if finished && !empty {
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of one broker's decisions, and its rounds.
+//! The state of one broker's policy, and its rounds.
 
 use super::*;
 use rand_pcg::Pcg64Mcg;
@@ -10,7 +10,7 @@
 const POLL_BACKOFF_INITIAL_SHARE: f64 = 0.05;
 const POLL_BACKOFF_MAX_SHARE: f64 = 0.5;
 
-/// One broker's decisions.
+/// The policy of one broker.
 pub struct Balancer {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
@@ -29,9 +29,9 @@
     pub(super) mean_parts: Vec<f64>,
     pub(super) overrun_multiple: f64,
     pub(super) tracked_requests: usize,
-    /// When a query was last rejected that had its whole objective left.
+    /// When a query that had its whole objective left was last rejected.
     pub(super) last_overload_at: Option<Nanos>,
-    /// The lease of the endpoint list, while nothing confirms that list.
+    /// The lease of the endpoint list, while that list is not confirmed.
     pub(super) list_lease: Option<ListLease>,
     pub(super) poll_at: Option<Nanos>,
     pub(super) poll_backoff: f64,
@@ -39,7 +39,11 @@
 }
 
 impl Balancer {
-    /// A broker that knows no replica yet; unusable settings are an error. `seed` sets all random choices.
+    /// Creates the policy of a broker with an empty endpoint list. `seed` determines all random choices.
+    ///
+    /// # Errors
+    ///
+    /// The settings can't be used.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let objective = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(1) as f64;
@@ -74,7 +78,7 @@
         })
     }
 
-    /// Takes in the events up to `now`, then decides. Actions are added to `actions` in order.
+    /// Processes the events up to `now`, then decides, and appends the actions to `actions` in order.
     pub fn round(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.fleet.decay(now.saturating_sub(self.now));
         self.now = self.now.max(now);
@@ -142,7 +146,7 @@
     }
 
     fn on_endpoint_list(&mut self, full: bool, entries: &[ReplicaEntry]) {
-        // No poll is due: this answers one, so the watch works again.
+        // No poll is scheduled, so this list is the response to one: the watch works again.
         if self.poll_at.is_none() {
             self.poll_backoff = self.settings.max_poll_interval as f64 * POLL_BACKOFF_INITIAL_SHARE;
         }
--- a/src/policy/hedging.rs
+++ b/src/policy/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt sent together with the first.
+//! Hedged requests: a second attempt that is sent together with the first.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 impl Balancer {
     pub(super) fn hedge(&mut self, key: PartKey, first: ReplicaId, actions: &mut Vec<Action>) {
         let budget = HEDGE_BUDGET_RATIO * self.recent.idempotent_parts.len() as f64;
-        // The budget goes to parts on replicas slower than most: those are what a query waits for.
+        // The budget is kept for parts on replicas slower than most: a query waits longest for those.
         if self.recent.hedges.len() as f64 + 1.0 <= budget
             && self.load(first) < HEDGE_MAX_LOAD
             && self.expected_latency(first) >= self.fleet.mean
--- a/src/policy/latency_estimate.rs
+++ b/src/policy/latency_estimate.rs
@@ -1,4 +1,4 @@
-//! The latency of the whole fleet; each replica's latency is kept as a ratio to it.
+//! Estimate of the whole fleet's latency. Each replica's latency is stored as a ratio to it.
 
 use super::*;
 
@@ -10,7 +10,7 @@
 const RATIO_DECAY_ANSWER_GAPS: f64 = 3.0;
 const GAP_EWMA_WEIGHT: f64 = 0.02;
 
-/// Latency of the fleet of late; times in ns.
+/// Recent latency of the fleet; times in ns.
 #[derive(Default)]
 pub(super) struct FleetLatency {
     /// Shortest latency objective: the unit of most time spans here.
@@ -46,7 +46,8 @@
         self.samples += 1.0;
     }
 
-    /// Without answers the mean drifts to light load, or a broker that rejects all would reject for ever.
+    /// Updates the mean. Without answers it converges to the light-load latency: otherwise a broker that
+    /// rejects every query would get no more answers and would never admit one again.
     pub(super) fn update(&mut self, light_load_latencies: impl Iterator<Item = f64>) {
         let (sum, listed) =
             light_load_latencies.fold((0.0, 0.0), |(sum, n), latency| (sum + latency, n + 1.0));
--- a/src/policy/list_lease.rs
+++ b/src/policy/list_lease.rs
@@ -1,38 +1,41 @@
-//! The lease of the endpoint list: which replicas get attempts once the list has not been confirmed for too
+//! The lease of the endpoint list: which replicas get attempts once the list has been unconfirmed for too
 //! long.
 //!
-//! A watch that ended may have reported drains that did not arrive. While their grace lasts nothing changes.
-//! Once the lease is over, the list alone vouches for no replica: one that has accepted an attempt since was
-//! not draining when the watch ended; one that has only turned attempts away may drain, and gets none.
+//! Reports of drains may have been lost when a watch ended. During the grace of such drains nothing changes.
+//! Once the lease has expired, a replica's entry in the list is not enough: a replica that has accepted an
+//! attempt since was not draining when the watch ended; one that has only rejected attempts may be draining,
+//! and gets none.
 
 use super::*;
 
-/// Time after which a replica that has accepted attempts since is taken for an overloaded one again, ns.
+/// How long after the last confirmation of the list a replica that rejects attempts is treated as possibly
+/// draining if it has accepted one since, ns. After that, it is treated as overloaded.
 const DRAIN_SUSPICION_AFTER_ACCEPT: Nanos = 10_000_000_000;
-/// The same for one that has accepted none: a drain is over by then, however long its attempts take.
+/// The same for a replica that has accepted none, ns: any drain is over by then, however long its attempts
+/// take.
 const DRAIN_SUSPICION: Nanos = 60_000_000_000;
 
-/// Age that a report which did not arrive may have when its watch ends, ns: a watch is silent for no longer.
+/// Maximum age of a lost report when its watch ends, ns: a watch ends once it has been silent for that long.
 const LOST_REPORT_AGE: Nanos = 3_200_000_000;
 
-/// The list is not confirmed any more.
+/// The lease of an endpoint list that is no longer confirmed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListLease {
     /// When it was last confirmed.
     pub(super) unconfirmed_since: Nanos,
-    /// Until when it is used as it is.
+    /// Until when it is used unchanged.
     pub(super) expires_at: Nanos,
-    /// How long an accepted attempt proves that a replica does not drain.
+    /// How long an accepted attempt proves that a replica is not draining, ns.
     pub(super) proof_lifetime: Nanos,
 }
 
 impl ListLease {
-    /// Whether a replica accepted an attempt that shows that it does not drain.
+    /// Whether an attempt that the replica has accepted proves that it is not draining.
     fn is_proven_active(&self, r: &Replica, now: Nanos) -> bool {
         r.newest_answered_send >= self.unconfirmed_since.max(now.saturating_sub(self.proof_lifetime))
     }
 
-    /// Whether a replica has turned its last attempts away, as one that drains does.
+    /// Whether a replica has rejected its latest attempts, as a draining one does.
     fn may_be_draining(&self, r: &Replica, now: Nanos) -> bool {
         let recent = self.unconfirmed_since.saturating_sub(LOST_REPORT_AGE);
         let is_rejecting = r.newest_rejected_send >= recent.max(r.newest_answered_send);
@@ -47,12 +50,12 @@
         self.list_lease.filter(|lease| lease.expires_at <= self.now)
     }
 
-    /// Whether a replica may drain without this broker knowing.
+    /// Whether a replica may be draining although the endpoint list does not show it.
     pub(super) fn may_be_draining(&self, id: ReplicaId) -> bool {
         self.expired_lease().is_some_and(|lease| lease.may_be_draining(&self.replicas[&id], self.now))
     }
 
-    /// Drops the replicas of a shard that may drain, if the lease is over.
+    /// Removes the replicas of a shard that may be draining from `replicas`, if the lease has expired.
     pub(super) fn remove_possibly_draining(&self, replicas: &mut Vec<ReplicaId>) {
         let Some(lease) = self.expired_lease() else { return };
         let is_usable = |r: &Replica| r.accepts_part() && r.ejected.is_none();
@@ -60,7 +63,7 @@
         if replicas.iter().any(|id| is_usable(&self.replicas[id]) && !may_be_draining(id)) {
             return replicas.retain(|id| !may_be_draining(id));
         }
-        // All turn attempts away. One that drains has done so for longest.
+        // All reject attempts. A draining replica has done so for longest, so the last one to accept is kept.
         let last_to_accept = replicas.iter().copied().max_by_key(|id| self.replicas[id].newest_answered_send);
         replicas.retain(|id| Some(*id) == last_to_accept);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,8 @@
-//! The decision module: where parts are sent, when they are retried, which queries are rejected.
-//! No I/O and no clock. `docs/decision-constants.md` says why each constant has its value.
+//! The policy: where parts are sent, when they are retried, and which queries are rejected.
+//!
+//! It has no I/O and no clock. `docs/decision-constants.md` explains the value of each constant. Constants
+//! named `*_OBJECTIVES` are multiples of the shortest latency objective, `*_FLEET_MEANS` of the fleet's mean
+//! latency.
 
 #![deny(missing_docs, rust_2018_idioms)]
 #![deny(clippy::too_many_lines, clippy::type_complexity, clippy::cognitive_complexity)]
--- a/src/policy/outlier_ejection.rs
+++ b/src/policy/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of silent and failed replicas, and the health checks and trials that bring them back.
+//! Ejection of unresponsive and failed replicas, and their return after health checks and trial parts.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         let Some(r) = self.replicas.get_mut(&ended.replica) else { return };
         let age = (now - ended.sent_at) as f64;
         let mean = fleet.mean * r.latency_ratio_at(now, fleet);
-        // Overtaken by later sends, the part is costly rather than the replica slow.
+        // Attempts sent later have been answered first: the part is expensive, rather than the replica slow.
         let overtaken = r.newest_answered_send > ended.sent_at;
         let lost = overtaken && age > LOST_LATENCY_MULTIPLE * mean;
         let sample_limit = if overtaken && age > 2.0 * mean { mean } else { f64::INFINITY };
@@ -32,13 +32,14 @@
                 r.on_answer(ended.sent_at, now);
                 sample = Some(latency as f64);
             }
-            // Without an answer, the age is a lower bound; what was never sent shows nothing.
+            // Without an answer, the age is a lower bound of the latency; an unsent attempt is no evidence.
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {
                 let overdue = age >= mean * RETRY_LATENCY_MULTIPLE;
                 r.unanswered_since = r.unanswered_since.filter(|_| r.in_flight > 0 || overdue);
                 sample = (age > mean).then_some(age);
             }
-            // Perhaps load: a fast failure must not draw parts, nor a few of them read as seconds.
+            // May be due to load: a fast failure must not attract parts, and a few failures must not raise
+            // the estimate to seconds.
             Outcome::Error | Outcome::InvalidResponse | Outcome::Rejected => {
                 r.unanswered_since = None;
                 let max_sample =
@@ -46,7 +47,7 @@
                 let clipped = (mean * SAMPLE_CLIP_MULTIPLE).min(max_sample);
                 r.record_latency(clipped, ended.others_in_flight, fleet, now);
             }
-            // One broken connection may have been idle; a dead process refuses the next.
+            // A single reset may be that of an idle connection; a dead process refuses the next connection.
             Outcome::ConnectionReset if !r.connection_broke => {
                 r.connection_broke = true;
                 r.unanswered_since = r.unanswered_since.filter(|_| r.in_flight > 0);
--- a/src/policy/replica.rs
+++ b/src/policy/replica.rs
@@ -1,4 +1,4 @@
-//! What this broker knows of one replica.
+//! This broker's state of one replica: latency, faults, ejection and warm-up.
 
 use super::*;
 
@@ -16,8 +16,9 @@
     pub(super) weight: f64,
     pub(super) listed: bool,
     pub(super) removed: bool,
-    /// Mean latency over the fleet's, and the mean number of own parts in flight meanwhile.
+    /// Mean latency, as a ratio to the fleet's.
     pub(super) latency_ratio: f64,
+    /// Mean number of this broker's other parts in flight there when the sampled attempts were sent.
     pub(super) mean_in_flight: f64,
     pub(super) light_load_latency: f64,
     pub(super) sampled_at: Nanos,
@@ -25,19 +26,19 @@
     pub(super) fault_rate: f64,
     pub(super) in_flight: u32,
     pub(super) newest_answered_send: Nanos,
-    /// When the newest attempt was sent that it turned away, or that could not connect.
+    /// When the newest of the attempts that it rejected, or that could not connect, was sent.
     pub(super) newest_rejected_send: Nanos,
     pub(super) unanswered_since: Option<Nanos>,
     pub(super) connection_broke: bool,
     pub(super) ejected: Option<Ejection>,
-    /// While ejected: a health check passed, so one part may be tried.
+    /// While ejected: one trial part may be sent, after a health check that passed or where there are none.
     pub(super) on_trial: bool,
     pub(super) warming_since: Option<Nanos>,
     pub(super) allowance: f64,
     pub(super) utilization: Option<f64>,
 }
 
-/// State of a replica that is taken to be down or silent.
+/// State of a replica that is considered down or unresponsive.
 pub(super) struct Ejection {
     pub(super) probe_at: Nanos,
     pub(super) probe_backoff: f64,
@@ -82,7 +83,7 @@
 
     pub(super) fn start_warming(&mut self, started: Option<Nanos>) {
         self.warming_since = started;
-        // One part shows how fast an unknown replica is.
+        // One part is enough to measure the latency of a replica without samples.
         self.allowance = if self.sampled_at == 0 { 1.0 } else { 0.0 };
         if self.ejected.take().is_some() {
             self.unanswered_since = None;
--- a/src/policy/replica_selection.rs
+++ b/src/policy/replica_selection.rs
@@ -14,7 +14,8 @@
         of_shard.flat_map(|cell| self.replicas_by_cell[cell].iter().copied()).collect()
     }
 
-    /// Latency expected of one more part: scaled by own parts in flight, at least the time without an answer.
+    /// Expected latency of one more part: scaled by the number of this broker's parts in flight there, and at
+    /// least the time for which attempts there have been unanswered.
     pub(super) fn expected_latency(&self, id: ReplicaId) -> f64 {
         let r = &self.replicas[&id];
         let usual_in_flight = r.mean_in_flight + 1.0 + ASSUMED_OTHERS_IN_FLIGHT;
@@ -29,7 +30,8 @@
         r.utilization.unwrap_or_else(|| 1.0 - r.light_load_latency / self.expected_latency(id).max(1.0))
     }
 
-    /// Draws a replica for the part. Ejected ones only if all are: then the fault is rather this broker's.
+    /// Draws a replica for the part. With `or_ejected`, draws an ejected one if all are ejected: the fault is
+    /// then more likely on the broker's side.
     pub(super) fn select(&mut self, key: PartKey, used: &[ReplicaId], or_ejected: bool) -> Option<ReplicaId> {
         let mut replicas = self.replicas_of_shard(self.queries[&key.job].parts[key.index].shard);
         self.remove_possibly_draining(&mut replicas);
@@ -54,7 +56,7 @@
         let loss_cost = objective * if retriable { RETRIABLE_LOSS_OBJECTIVES } else { FINAL_LOSS_OBJECTIVES };
         let call = self.settings.call_work as f64;
         let work = (self.fleet.mean - call).max(call / 2.0);
-        // Faults that all replicas have are no reason to choose.
+        // Faults common to all replicas do not affect the choice.
         let faults = |id: &ReplicaId| self.replicas[id].excess_fault_rate(self.now, objective);
         let least_faults = pool.iter().map(faults).fold(f64::INFINITY, f64::min);
         let weight = |id: &ReplicaId| {
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -9,7 +9,7 @@
     pub(super) index: usize,
 }
 
-/// What is known of an attempt's execution.
+/// What is known about the execution of an attempt.
 #[derive(PartialEq)]
 pub(super) enum AttemptState {
     InFlight,
@@ -17,7 +17,7 @@
     NeverRan,
 }
 
-/// One attempt at a part, as its query sees it.
+/// One attempt at a part, as stored with its query.
 pub(super) struct Attempt {
     pub(super) replica: ReplicaId,
     pub(super) sent_at: Nanos,
@@ -25,7 +25,7 @@
     pub(super) state: AttemptState,
 }
 
-/// An attempt whose end was not reported yet.
+/// An attempt whose end has not been reported yet.
 pub(super) struct SentAttempt {
     pub(super) part: PartKey,
     pub(super) part_id: RequestId,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Attempts at a part: the first, retries, and the budget of retries.
+//! Attempts at a part: the first one, retries, and the retry budget.
 
 use super::*;
 
@@ -16,7 +16,8 @@
 }
 
 impl RecentRequests {
-    /// Drops what has left its window: retries a tick late, the requests that allow them a tick early.
+    /// Drops the times that have left their window: requests one round interval early, the retries that they
+    /// allow two round intervals late.
     pub(super) fn expire(&mut self, now: Nanos, settings: &Settings) {
         let window = settings.retry_budget.map_or(HEDGE_WINDOW_NS, |b| b.window);
         let expire = |times: &mut VecDeque<Nanos>, now: Nanos, window: Nanos| {
@@ -61,7 +62,7 @@
             }
         }
         match on_trial.filter(|id| *id != first && may_hedge) {
-            // An ejected replica is tried with a second attempt, which risks no part.
+            // An ejected replica gets its trial as a second attempt, so that the part does not depend on it.
             Some(id) if self.may_duplicate() => self.send_attempt(key, id, actions),
             _ if may_hedge => self.hedge(key, first, actions),
             _ => {}
@@ -78,7 +79,7 @@
         let lateness = p.in_flight().map(|(_, a)| lateness(a)).fold(f64::INFINITY, f64::min);
         let late = lateness > if lost { 1.0 } else { RETRY_LATENCY_MULTIPLE };
         let overloaded = self.last_overload_at.is_some_and(|t| (self.now - t) as f64 <= self.fleet.objective);
-        // A lost part runs nowhere, so its retry is no duplicate, nor does it add work under overload.
+        // A lost part is not running anywhere: its retry is no duplicate, and adds no work under overload.
         let may_duplicate = !overloaded && p.in_flight().count() == 1 && self.may_duplicate();
         let within_budget = if lost { self.within_retry_budget() } else { may_duplicate };
         if !late || !self.settings.may_hedge || !self.may_run_again(p, class) || !within_budget {
@@ -101,7 +102,8 @@
         let q = &self.queries[&key.job];
         let p = &q.parts[key.index];
         let used: Vec<ReplicaId> = p.attempts.iter().map(|a| a.replica).collect();
-        // All attempts can be rejected within milliseconds: the last one waits until queues have moved on.
+        // All attempts can be rejected within milliseconds: the last one is delayed by the fleet's mean
+        // latency, so that queues can shorten.
         let healthy = |id: &ReplicaId| self.replicas.get(id).is_some_and(|r| r.ejected.is_none());
         let rejected = |a: &Attempt| a.state == AttemptState::NeverRan && healthy(&a.replica);
         let last = used.len() + 1 >= self.settings.max_attempts as usize && p.attempts.iter().all(rejected);
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Whether another attempt can do no harm. Guards rule 2.
+    /// Whether another attempt is harmless. Enforces rule 2: a part is retried only where that is safe.
     pub(super) fn may_run_again(&self, p: &Part, class: &Class) -> bool {
         let first_run = p.attempts.iter().find(|a| a.state != AttemptState::NeverRan);
         let soon = self.now + 2 * self.settings.round_interval;
@@ -127,7 +129,7 @@
         })
     }
 
-    /// Guards rule 6.
+    /// Whether one more attempt is within the retry budget. Enforces rule 6: retries stay within the budget.
     fn within_retry_budget(&self) -> bool {
         let Some(b) = self.settings.retry_budget else { return true };
         self.recent.retries.len() as f64 + 1.0 <= b.free + b.share * self.recent.requests.len() as f64
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,6 @@
-//! Slow start: a replica that has started lately gets few parts until it has warmed up. Guards rule 4.
+//! Slow start: a recently started replica gets few parts until it has warmed up.
+//!
+//! Enforces rule 4: a replica that is warming up is not overloaded.
 
 use super::*;
 
@@ -7,7 +9,8 @@
 const MAX_ALLOWANCE_PARTS: f64 = 2.0;
 
 impl Balancer {
-    /// Adds to each warming replica's allowance its share of the parts, by the present capacity of all.
+    /// Adds its share of the query's parts to the allowance of each replica that is warming up, in proportion
+    /// to the current capacities of all replicas.
     pub(super) fn grant_allowance(&mut self, job: u64) {
         let (now, settings) = (self.now, &self.settings);
         let Some(q) = self.queries.get_mut(&job) else { return };
