--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,8 @@
 //! The interface of the policy: settings, events, actions and ids.
 //!
-//! Plain types only; all decisions are in the policy itself, which has no I/O and no clock. A broker hands
-//! [`Event`]s to the policy in rounds and carries out the [`Action`]s that it gives back. All times are
-//! nanoseconds: an instant is read from the caller's own monotonic clock, a span is a difference of two.
+//! Plain types only; all decisions are in the policy itself, which has no I/O and no clock. A broker passes
+//! [`Event`]s to the policy in rounds and carries out the [`Action`]s that it returns. All times are
+//! nanoseconds: an instant is read from the caller's own monotonic clock, a duration is a difference of two.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -11,14 +11,14 @@
     clippy::cognitive_complexity
 )]
 
-/// An instant or a span, in nanoseconds.
+/// An instant or a duration, in nanoseconds.
 pub type Nanos = u64;
 
 /// Id of a query or of a part of one. Ids are never reused, and their numbers have no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u128);
 
-/// Id of a replica: one server that has some of the shards.
+/// Id of a replica: one server that holds some of the shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u32);
 
@@ -53,9 +53,9 @@
     pub priority_weight: f64,
     /// Share of the value that an answer between objective and deadline has.
     pub late_weight: f64,
-    /// Weight of the parts from which an answer is complete; the weights of all parts add up to 1.
+    /// Total weight of answered parts that makes an answer complete; the weights of all parts add up to 1.
     pub complete_share: f64,
-    /// Least weight of the parts that an answer may be given from.
+    /// Least total weight of the parts that an answer may be given from.
     pub min_answer_share: f64,
     /// Share of the value that a partial answer has, times its weight over `complete_share`.
     pub partial_value: f64,
@@ -73,9 +73,9 @@
 /// How the endpoint list reaches this broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// The source sends changes as they come.
+    /// The source sends changes as they occur.
     Pushed,
-    /// The broker asks the source from time to time.
+    /// The broker polls the source at intervals.
     Polled,
 }
 
@@ -108,7 +108,7 @@
     /// Number of cells; over 0. The replicas of shard `s` are those in the cells `(s + j) mod cells` for `j`
     /// from 0 to `span - 1`.
     pub cells: u32,
-    /// Number of cells that have each shard; over 0.
+    /// Number of cells that hold each shard; over 0.
     pub span: u32,
     /// Most parts in one call to a replica.
     pub parts_per_call: u32,
@@ -156,7 +156,7 @@
 pub enum ReplicaState {
     /// Accepts attempts.
     Active,
-    /// Completes the attempts that it has; no further ones may be sent.
+    /// Completes the attempts in flight; no further ones may be sent.
     Draining,
     /// Is no longer listed.
     Removed,
@@ -188,9 +188,9 @@
     Error,
     /// The replica rejected the attempt before it ran.
     Rejected,
-    /// No answer came within the time-out; the part may have run, or may still run.
+    /// No answer arrived within the time-out; the part may have run, or may still run.
     TimedOut,
-    /// No connection came up; the part did not run.
+    /// No connection was established; the part did not run.
     ConnectFailed,
     /// The connection broke; the part may have run.
     ConnectionReset,
@@ -207,30 +207,29 @@
 pub enum Event {
     /// The endpoint list has changed.
     EndpointList {
-        /// `entries` is the whole list, and not only what has changed.
+        /// Whether `entries` is the whole list, and not only the changes.
         full: bool,
         /// The entries.
         entries: Vec<ReplicaEntry>,
     },
     /// A poll of the endpoint list failed, or the watch was interrupted.
     WatchFailed,
-    /// Nothing confirms the endpoint list any more: its watch ended, and may have reported drains that did not
-    /// arrive.
+    /// The endpoint list is no longer confirmed: its watch ended, and reports of drains may have been lost.
     ListUnconfirmed {
         /// When it was last confirmed, or the watch ended.
         since: Nanos,
-        /// Until when the list is used as it is.
+        /// Until when the list is used unchanged.
         lease_end: Nanos,
-        /// How long an accepted attempt proves that a replica does not drain, ns.
+        /// How long an accepted attempt proves that a replica is not draining, ns.
         proof_lifetime: Nanos,
     },
-    /// There is a watch on the endpoint list again, and the list is current.
+    /// A watch on the endpoint list has been established again, and the list is current.
     ListConfirmed,
     /// A query was admitted. Its parts follow in the same round, with the same `job`.
     Query {
         /// The query.
         query: RequestId,
-        /// Number that connects a query with its parts.
+        /// Number that links a query with its parts.
         job: u64,
         /// Index of its class in the settings.
         class: usize,
@@ -242,7 +241,7 @@
         parts: u32,
         /// Expected work of all parts, if known, ns.
         work: Option<Nanos>,
-        /// The client has marked it as a retry.
+        /// Whether the client has marked it as a retry.
         is_retry: bool,
     },
     /// A part of a query.
@@ -268,7 +267,7 @@
         latency: Nanos,
         /// How it ended.
         outcome: Outcome,
-        /// Busy share of the replica's processors, 0 to 1, where a load report came with the answer.
+        /// Busy share of the replica's processors, 0 to 1, if the answer carried a load report.
         utilization: Option<f64>,
     },
     /// The client of a query has disconnected, or the query has ended otherwise.
@@ -280,21 +279,21 @@
     HealthChecked {
         /// The replica.
         replica: ReplicaId,
-        /// It answered.
+        /// Whether it answered.
         ok: bool,
         /// Time until it answered, ns.
         latency: Nanos,
-        /// Busy share of the replica's processors, 0 to 1, where it reported that.
+        /// Busy share of the replica's processors, 0 to 1, if it reported that.
         utilization: Option<f64>,
     },
-    /// A replica that was taken for warming up is as fast as the others.
+    /// A replica that was treated as warming up is now as fast as the others.
     WarmedUp {
         /// The replica.
         replica: ReplicaId,
     },
-    /// The retry budget from now on: part of it may belong to another process at the same address.
+    /// The retry budget from now on: part of it may be granted to another process at the same address.
     RetryBudget(Option<RetryBudget>),
-    /// The time asked for with [`Action::SetTimer`] has come.
+    /// The timer set with [`Action::SetTimer`] has fired.
     TimerFired,
 }
 
@@ -321,7 +320,7 @@
     Answer {
         /// The query.
         query: RequestId,
-        /// The answer is complete, and not partial.
+        /// Whether the answer is complete, and not partial.
         complete: bool,
     },
     /// Reject a query: shed load. A retry by the client is harmless.
@@ -341,7 +340,7 @@
         /// The replica.
         replica: ReplicaId,
     },
-    /// Watch the endpoint list from now on; changes since the last event come first.
+    /// Watch the endpoint list from now on, starting with the changes since the last event.
     WatchEndpoints,
     /// Run the next round after this time at the latest.
     SetTimer {
@@ -360,7 +359,7 @@
         /// Index of the first such class; `None` if there is no class at all.
         class: Option<usize>,
     },
-    /// A count is 0, or a setting of slow start is negative or not finite.
+    /// A count is 0, or a slow-start setting is negative or not finite.
     #[error("unusable settings: cells, span, shards, attempts or the cold figures are unusable")]
     Counts,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! pebbleturn is a broker for sharded, replicated services: it takes a query, sends its parts to replicas
-//! of their shards, and gives one answer.
+//! pebbleturn is a broker for sharded, replicated services: it receives a query, sends its parts to replicas
+//! of their shards, and returns one answer.
 //!
-//! The decisions stand apart from everything else. Hand a [`Balancer`] what was heard, carry out the actions it gives back:
+//! The decisions are independent of all I/O: pass events to a [`Balancer`], and carry out the actions that it
+//! returns:
 //!
 //! ```
 //! use pebbleturn::*;
@@ -55,17 +56,30 @@
 //! let (query, part) = (RequestId(1), RequestId(2));
 //! let events = [
 //!     Event::EndpointList { full: true, entries: vec![entry(0), entry(1)] },
-//!     Event::Query { query, job: 1, class: 0, tenant: None, time_left: 2_000_000_000, parts: 1, work: None, is_retry: false },
+//!     Event::Query {
+//!         query,
+//!         job: 1,
+//!         class: 0,
+//!         tenant: None,
+//!         time_left: 2_000_000_000,
+//!         parts: 1,
+//!         work: None,
+//!         is_retry: false,
+//!     },
 //!     Event::Part { part, job: 1, shard: 0, weight: 1.0 },
 //! ];
 //! let mut actions = Vec::new();
 //! balancer.round(0, &events, &mut actions);
-//! let Action::Send { part: sent, replica, .. } = actions[0] else { panic!("the part goes out at once") };
+//! let Action::Send { part: sent, replica, .. } = actions[0] else { panic!("the part is sent at once") };
 //! assert_eq!(sent, part);
 //!
 //! let (attempt, latency, outcome) = (0, 90_000_000, Outcome::Ok);
 //! actions.clear();
-//! balancer.round(latency, &[Event::AttemptEnded { part, replica, attempt, latency, outcome, utilization: None }], &mut actions);
+//! balancer.round(
+//!     latency,
+//!     &[Event::AttemptEnded { part, replica, attempt, latency, outcome, utilization: None }],
+//!     &mut actions,
+//! );
 //! assert!(actions.contains(&Action::Answer { query, complete: true }));
 //! ```
 #![forbid(unsafe_code)]
