--- a/src/api.rs
+++ b/src/api.rs
@@ -354,13 +354,17 @@
 pub enum SettingsError {
     /// There is no class, or a class has an objective or deadline of 0, or a weight or share that is negative
     /// or not finite.
-    #[error("unusable settings: each class needs an aim, a deadline, and sound worths and shares")]
+    #[error(
+        "unusable settings: each class needs an objective and deadline over 0, and valid weights and shares"
+    )]
     Classes {
         /// Index of the first such class; `None` if there is no class at all.
         class: Option<usize>,
     },
     /// A count is 0, or a slow-start setting is negative or not finite.
-    #[error("unusable settings: cells, span, shards, attempts or the cold figures are unusable")]
+    #[error(
+        "unusable settings: a count of cells, shards or attempts is 0, or a slow-start setting is invalid"
+    )]
     Counts,
 }
 
