--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -24,14 +24,14 @@
 #[test]
 fn a_broker_that_rejected_everything_admits_queries_again_without_new_answers() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 60, |_| Some(900 * MS));
+    run_queries(&mut broker, 60, |_| Some(900 * MS));
     let rejected = |broker: &ScriptedBroker| {
         broker.actions.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count()
     };
     assert!(rejected(&broker) > 0, "an overloaded fleet must lead to rejections");
     // All attempts in flight end; then there are no events for ten seconds.
-    let open: Vec<Event> = broker.sent.iter().map(|s| broker.ended(s, Outcome::Ok)).collect();
-    broker.at(broker.now, &open);
+    let ends: Vec<Event> = broker.sent.iter().map(|s| broker.ended(s, Outcome::Ok)).collect();
+    broker.at(broker.now, &ends);
     broker.idle(broker.now + 10 * S);
     let (query, actions) = broker.query(broker.now + MS, &[0, 2], 2 * S);
     assert!(broker.finals(query).is_empty() && actions.iter().any(|a| matches!(a, Action::Send { .. })));
@@ -40,7 +40,7 @@
 #[test]
 fn a_few_errors_in_a_row_do_not_count_as_seconds_of_latency() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::NonIdempotent));
-    play(&mut broker, 40, |_| Some(80 * MS));
+    run_queries(&mut broker, 40, |_| Some(80 * MS));
     for _ in 0..30 {
         let from = broker.sent.len();
         let now = broker.now + MS;
@@ -58,11 +58,11 @@
 
 #[test]
 fn retry_after_is_sent_only_where_allowed_and_never_exceeds_its_limit() {
-    for (may, most) in [(true, S), (true, 10 * MS), (false, S)] {
+    for (may_send, max_wait) in [(true, S), (true, 10 * MS), (false, S)] {
         let mut s = settings(Idempotency::Idempotent);
-        (s.may_send_retry_after, s.max_retry_after) = (may, most);
+        (s.may_send_retry_after, s.max_retry_after) = (may_send, max_wait);
         let mut broker = ScriptedBroker::new(s);
-        play(&mut broker, 80, |_| Some(900 * MS));
+        run_queries(&mut broker, 80, |_| Some(900 * MS));
         let waits: Vec<Nanos> = broker
             .actions
             .iter()
@@ -71,8 +71,8 @@
             )
             .collect();
         assert!(!waits.is_empty());
-        assert!(waits.iter().all(|w| *w <= if may { most } else { 0 }), "{waits:?}");
-        assert!(!may || waits.iter().any(|w| *w > 0));
+        assert!(waits.iter().all(|w| *w <= if may_send { max_wait } else { 0 }), "{waits:?}");
+        assert!(!may_send || waits.iter().any(|w| *w > 0));
     }
 }
 
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn a_time_out_below_the_objective_is_impatience_unless_the_query_is_marked_as_a_retry() {
-    for again in [false, true] {
+fn a_time_out_below_the_objective_counts_as_a_retry_only_if_the_query_is_marked_as_one() {
+    for is_marked in [false, true] {
         let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
         for k in 0..10 {
             let from = broker.sent.len();
@@ -112,10 +112,10 @@
             time_left,
             parts: 1,
             work: None,
-            is_retry: again,
+            is_retry: is_marked,
         };
         broker.at(broker.now + MS, &[query_event, Event::Part { part, job, shard: 0, weight }]);
-        assert_eq!(broker.sent.iter().any(|s| s.part == part), !again, "marked as a retry: {again}");
+        assert_eq!(broker.sent.iter().any(|s| s.part == part), !is_marked, "marked as a retry: {is_marked}");
     }
 }
 
@@ -133,7 +133,7 @@
     let mut done = vec![];
     for step in 0..1600u64 {
         let now = (step + 1) * 5 * MS;
-        end_some(&mut broker, now, &mut done, lost);
+        end_due(&mut broker, now, &mut done, lost);
         if step % 40 == 0 {
             broker.query(now, &[0, 2, 4], 2 * S);
         }
@@ -146,15 +146,15 @@
     let mut s = settings(Idempotency::Idempotent);
     (s.classes[0].latency_objective, s.classes[0].late_weight) = (400 * MS, 0.0);
     let mut broker = ScriptedBroker::new(s);
-    play(&mut broker, 40, |_| Some(80 * MS));
-    play(&mut broker, 100, |_| Some(380 * MS));
+    run_queries(&mut broker, 40, |_| Some(80 * MS));
+    run_queries(&mut broker, 100, |_| Some(380 * MS));
     let rejected = |broker: &ScriptedBroker| {
         broker.actions.iter().filter(|(_, a)| matches!(a, Action::Reject { .. })).count()
     };
     let before = rejected(&broker);
     assert!(before > 10, "a slow fleet must lead to rejections, {before}");
     broker.idle(broker.now + 3 * S);
-    play(&mut broker, 40, |_| Some(80 * MS));
+    run_queries(&mut broker, 40, |_| Some(80 * MS));
     let after = rejected(&broker) - before;
     assert!(after <= 4, "{after} of 40 rejected after the slowdown");
 }
--- a/tests/policy/answer.rs
+++ b/tests/policy/answer.rs
@@ -5,14 +5,14 @@
 use pebbleturn::*;
 
 #[test]
-fn late_queries_stay_while_there_is_room_and_end_when_there_is_none() {
-    for (room, stays) in [(1000, true), (3, false)] {
+fn late_queries_are_kept_only_while_there_is_capacity() {
+    for (capacity, is_kept) in [(1000, true), (3, false)] {
         let mut s = settings(Idempotency::Idempotent);
-        (s.max_in_flight, s.may_hedge) = (room, false);
+        (s.max_in_flight, s.may_hedge) = (capacity, false);
         let mut broker = ScriptedBroker::new(s);
         let (query, _) = broker.query(MS, &[0, 2], 2 * S + S / 2);
         broker.idle(S + S / 2);
-        assert_eq!(broker.finals(query).is_empty(), stays, "room for {room}");
+        assert_eq!(broker.finals(query).is_empty(), is_kept, "room for {capacity}");
     }
 }
 
@@ -62,12 +62,12 @@
     while broker.now < 3 * S {
         let now = broker.now + 10 * MS;
         // The attempts' time-outs end them a little after the objective.
-        let over = now > S + 60 * MS && done < broker.sent.len();
-        let ends = if over { broker.sent.split_off(done) } else { vec![] };
+        let timed_out = now > S + 60 * MS && done < broker.sent.len();
+        let ends = if timed_out { broker.sent.split_off(done) } else { vec![] };
         broker.now = now;
         let events: Vec<Event> = ends.iter().map(|s| broker.ended(s, Outcome::TimedOut)).collect();
         broker.sent.extend(ends);
-        done = if over { broker.sent.len() } else { done };
+        done = if timed_out { broker.sent.len() } else { done };
         broker.at(now, &events);
     }
     let finals = broker.finals(query);
@@ -80,8 +80,8 @@
     // Nothing is in flight and no replica is left: waiting for the client's deadline would gain nothing.
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     let (query, _) = broker.query(0, &[0], 2 * S);
-    let gone = (0..6).map(|n| line(n, ReplicaState::Removed, None)).collect();
-    broker.at(10 * MS, &[Event::EndpointList { full: true, entries: gone }]);
+    let removals = (0..6).map(|n| line(n, ReplicaState::Removed, None)).collect();
+    broker.at(10 * MS, &[Event::EndpointList { full: true, entries: removals }]);
     broker.now = 20 * MS;
     let ended: Vec<Event> = broker.sent.iter().map(|s| broker.ended(s, Outcome::ConnectionReset)).collect();
     let actions = broker.at(20 * MS, &ended);
--- a/tests/policy/broker.rs
+++ b/tests/policy/broker.rs
@@ -107,7 +107,11 @@
 }
 
 /// Runs `n` queries of three parts, 40 ms apart; `latency` gives how long an attempt takes, `None`: for ever.
-pub fn play(broker: &mut ScriptedBroker, n: u64, latency: impl Fn(&Sent) -> Option<Nanos>) -> Vec<RequestId> {
+pub fn run_queries(
+    broker: &mut ScriptedBroker,
+    n: u64,
+    latency: impl Fn(&Sent) -> Option<Nanos>,
+) -> Vec<RequestId> {
     let mut done = vec![false; broker.sent.len()];
     let start = broker.now;
     let mut queries = vec![];
@@ -136,7 +140,7 @@
 }
 
 /// Ends what has run for 80 ms, or 1 s where it is lost.
-pub fn end_some(broker: &mut ScriptedBroker, now: Nanos, done: &mut Vec<bool>, lost: impl Fn(&Sent) -> bool) {
+pub fn end_due(broker: &mut ScriptedBroker, now: Nanos, done: &mut Vec<bool>, lost: impl Fn(&Sent) -> bool) {
     broker.now = now;
     done.resize(broker.sent.len(), false);
     let mut ends = vec![];
--- a/tests/policy/hedging.rs
+++ b/tests/policy/hedging.rs
@@ -7,7 +7,7 @@
 #[test]
 fn some_parts_are_hedged_on_two_replicas_within_the_budget_of_a_tenth() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 200, |s| Some((80 + 10 * (s.replica.0 as u64 % 3)) * MS));
+    run_queries(&mut broker, 200, |s| Some((80 + 10 * (s.replica.0 as u64 % 3)) * MS));
     let (n, parts) = (hedges(&broker), 600);
     assert!(n > 5 && n <= parts / 10, "{n} hedged requests");
     for s in broker.sent.iter().filter(|s| s.attempt > 0) {
@@ -20,7 +20,7 @@
 #[test]
 fn the_slower_attempt_of_a_hedged_request_is_cancelled_at_once() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 200, |s| {
+    run_queries(&mut broker, 200, |s| {
         Some((if s.attempt > 0 { 200 } else { 80 + 10 * (s.replica.0 as u64 % 3) }) * MS)
     });
     let cancelled =
@@ -36,18 +36,18 @@
 fn no_hedged_requests_above_the_load_limit() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     // Lightly loaded at first, then four times as slow everywhere: estimated as a load of three quarters.
-    play(&mut broker, 100, |s| Some((60 + 15 * (s.replica.0 as u64 % 3)) * MS));
-    play(&mut broker, 60, |s| Some((240 + 60 * (s.replica.0 as u64 % 3)) * MS));
+    run_queries(&mut broker, 100, |s| Some((60 + 15 * (s.replica.0 as u64 % 3)) * MS));
+    run_queries(&mut broker, 60, |s| Some((240 + 60 * (s.replica.0 as u64 % 3)) * MS));
     let before = hedges(&broker);
     assert!(before > 0);
-    play(&mut broker, 60, |s| Some((240 + 60 * (s.replica.0 as u64 % 3)) * MS));
+    run_queries(&mut broker, 60, |s| Some((240 + 60 * (s.replica.0 as u64 % 3)) * MS));
     assert_eq!(hedges(&broker), before);
 }
 
 #[test]
 fn reported_utilization_limits_hedging() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 40, |s| Some((100 + 10 * s.replica.0 as u64) * MS));
+    run_queries(&mut broker, 40, |s| Some((100 + 10 * s.replica.0 as u64) * MS));
     let utilization = Some(0.8);
     for n in 0..6 {
         broker.at(
@@ -56,7 +56,7 @@
         );
     }
     let before = hedges(&broker);
-    play(&mut broker, 60, |s| Some((100 + 10 * s.replica.0 as u64) * MS));
+    run_queries(&mut broker, 60, |s| Some((100 + 10 * s.replica.0 as u64) * MS));
     assert_eq!(hedges(&broker), before);
 }
 
@@ -64,7 +64,7 @@
 fn only_idempotent_parts_are_hedged() {
     for idempotency in [Idempotency::IdempotencyKey { window: 3 * S }, Idempotency::NonIdempotent] {
         let mut broker = ScriptedBroker::new(settings(idempotency));
-        play(&mut broker, 100, |s| Some((80 + 10 * (s.replica.0 as u64 % 3)) * MS));
+        run_queries(&mut broker, 100, |s| Some((80 + 10 * (s.replica.0 as u64 % 3)) * MS));
         assert_eq!(hedges(&broker), 0);
     }
 }
--- a/tests/policy/interface.rs
+++ b/tests/policy/interface.rs
@@ -8,14 +8,14 @@
 fn same_events_give_same_actions_and_instances_share_nothing() {
     let run = |seed| {
         let mut broker = ScriptedBroker::seeded(settings(Idempotency::Idempotent), seed);
-        play(&mut broker, 50, |s| Some((70 + 10 * s.replica.0 as u64) * MS));
+        run_queries(&mut broker, 50, |s| Some((70 + 10 * s.replica.0 as u64) * MS));
         broker.actions
     };
     let alone = run(3);
     let mut a = ScriptedBroker::seeded(settings(Idempotency::Idempotent), 3);
     let mut b = ScriptedBroker::seeded(settings(Idempotency::Idempotent), 4);
-    play(&mut b, 20, |_| Some(300 * MS));
-    play(&mut a, 50, |s| Some((70 + 10 * s.replica.0 as u64) * MS));
+    run_queries(&mut b, 20, |_| Some(300 * MS));
+    run_queries(&mut a, 50, |s| Some((70 + 10 * s.replica.0 as u64) * MS));
     assert_eq!(alone, a.actions);
     assert_ne!(alone, run(4), "the seed must matter");
 }
--- a/tests/policy/list_lease.rs
+++ b/tests/policy/list_lease.rs
@@ -5,22 +5,22 @@
 use pebbleturn::*;
 
 /// Spreads the numbers of attempts, so that who is accepted follows no pattern.
-const SPREAD: usize = 0x9E37_79B9;
+const HASH_MULTIPLIER: usize = 0x9E37_79B9;
 
 /// Replica 1 turns all away from `refuses_from` on, replicas 0 and 2 so many of their parts; all hold shard 0.
 struct Fleet {
     broker: ScriptedBroker,
-    refuses_from: Nanos,
+    rejects_from: Nanos,
     /// Of so many attempts the other replicas accept one.
     others_accept_one_in: usize,
     ended: usize,
 }
 
 impl Fleet {
-    fn new(seed: u64, refuses_from: Nanos, others_accept_one_in: usize) -> Fleet {
+    fn new(seed: u64, rejects_from: Nanos, others_accept_one_in: usize) -> Fleet {
         let settings = Settings { retry_budget: None, may_hedge: false, ..settings(Idempotency::Idempotent) };
         let broker = ScriptedBroker::seeded(settings, seed);
-        Fleet { broker, refuses_from, others_accept_one_in, ended: 0 }
+        Fleet { broker, rejects_from, others_accept_one_in, ended: 0 }
     }
 
     /// Queries every 20 ms up to `until`. Each attempt ends 5 ms after it was sent.
@@ -40,11 +40,11 @@
     }
 
     fn end(&self, number: usize, sent: &Sent) -> Event {
-        let refuses = match sent.replica.0 {
-            1 => sent.at >= self.refuses_from,
-            _ => !(number.wrapping_mul(SPREAD) >> 16).is_multiple_of(self.others_accept_one_in),
+        let rejects = match sent.replica.0 {
+            1 => sent.at >= self.rejects_from,
+            _ => !(number.wrapping_mul(HASH_MULTIPLIER) >> 16).is_multiple_of(self.others_accept_one_in),
         };
-        self.broker.ended(sent, if refuses { Outcome::Rejected } else { Outcome::Ok })
+        self.broker.ended(sent, if rejects { Outcome::Rejected } else { Outcome::Ok })
     }
 
     /// Attempts at a replica from this time on.
@@ -70,11 +70,11 @@
 }
 
 #[test]
-fn a_replica_that_only_refuses_gets_nothing_once_the_lease_is_over() {
+fn a_replica_that_only_rejects_gets_no_attempts_after_the_lease() {
     for seed in 0..50 {
         for others_accept_one_in in [1, 3] {
-            let [first, refusing, third] = attempts_after_lease(seed, others_accept_one_in, true);
-            assert_eq!(refusing, 0, "seed {seed}, one in {others_accept_one_in}");
+            let [first, rejecting, third] = attempts_after_lease(seed, others_accept_one_in, true);
+            assert_eq!(rejecting, 0, "seed {seed}, one in {others_accept_one_in}");
             if others_accept_one_in == 1 {
                 assert!(first + third > 150, "seed {seed}: {first} and {third} attempts at the others");
             }
@@ -84,7 +84,7 @@
 
 /// Where most is refused, the replicas that are left serve no less than all did without a lease.
 #[test]
-fn the_lease_takes_nothing_from_replicas_that_accept() {
+fn the_lease_does_not_reduce_the_attempts_at_accepting_replicas() {
     let at_others = |has_lease| {
         let of_seed = |seed| attempts_after_lease(seed, 3, has_lease);
         (0..50).map(of_seed).map(|[first, _, third]| first + third).sum::<usize>()
@@ -95,21 +95,21 @@
 
 /// Replica 1 refuses all from 2 s on, the list is confirmed last at 2.5 s. Attempts at it from `since` after that on, for
 /// 20 s, when it accepts again from 3 s after that time on.
-fn attempts_at_the_refusing(accepts_once: bool, is_confirmed: bool, since: Nanos) -> usize {
+fn attempts_at_rejecting_replica(accepts_once: bool, is_confirmed: bool, since: Nanos) -> usize {
     let mut fleet = Fleet::new(7, 2 * S, 1);
     fleet.run(2500 * MS);
     let now = fleet.broker.now;
     fleet.broker.at(now, &[unconfirmed(now)]);
     if accepts_once {
         // Before the lease is over it accepts some, and then refuses again.
-        fleet.refuses_from = now + 300 * MS;
+        fleet.rejects_from = now + 300 * MS;
         fleet.run(now + 300 * MS);
     }
     fleet.run(now + 3 * S);
     if !accepts_once {
         assert_eq!(fleet.attempts(1, now + S), 0);
     }
-    fleet.refuses_from = Nanos::MAX;
+    fleet.rejects_from = Nanos::MAX;
     fleet.run(now + since);
     if is_confirmed {
         let now = fleet.broker.now;
@@ -121,20 +121,20 @@
 
 #[test]
 fn the_lease_ends_with_a_confirmed_list() {
-    assert!(attempts_at_the_refusing(false, true, 3 * S) > 0);
+    assert!(attempts_at_rejecting_replica(false, true, 3 * S) > 0);
 }
 
 /// One that accepted attempts since the list was confirmed is an overloaded one; one that did not may drain, and a drain
 /// takes a minute at most.
 #[test]
-fn suspicion_ends_with_time_and_later_where_nothing_was_accepted() {
-    assert!(attempts_at_the_refusing(true, false, 10 * S) > 0);
-    assert_eq!(attempts_at_the_refusing(false, false, 35 * S), 0);
-    assert!(attempts_at_the_refusing(false, false, 61 * S) > 0);
+fn suspicion_of_a_drain_expires_later_if_nothing_was_accepted() {
+    assert!(attempts_at_rejecting_replica(true, false, 10 * S) > 0);
+    assert_eq!(attempts_at_rejecting_replica(false, false, 35 * S), 0);
+    assert!(attempts_at_rejecting_replica(false, false, 61 * S) > 0);
 }
 
 #[test]
-fn a_replica_that_accepted_since_keeps_its_attempts_though_it_refuses_some() {
+fn a_replica_that_has_accepted_since_still_gets_attempts_if_it_rejects_some() {
     let mut fleet = Fleet::new(7, 0, 1);
     fleet.run(S);
     let now = fleet.broker.now;
@@ -152,7 +152,7 @@
 
 /// Where all refuse, only the one that accepted an attempt last is tried: one that drains has refused for longest.
 #[test]
-fn where_all_refuse_the_last_to_accept_is_tried() {
+fn if_all_replicas_reject_the_last_to_accept_is_tried() {
     for seed in 0..20 {
         let mut fleet = Fleet::new(seed, 500 * MS, 1);
         fleet.run(1500 * MS);
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -7,9 +7,9 @@
 #[test]
 fn a_silent_replica_is_ejected_and_comes_back_after_health_checks() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 50, |_| Some(80 * MS));
+    run_queries(&mut broker, 50, |_| Some(80 * MS));
     let silent_from = broker.now;
-    play(&mut broker, 100, |s| (s.replica.0 != 1 || s.at < silent_from).then_some(80 * MS));
+    run_queries(&mut broker, 100, |s| (s.replica.0 != 1 || s.at < silent_from).then_some(80 * MS));
     let firsts = |broker: &ScriptedBroker, from, to| {
         let hit = |s: &&Sent| s.replica.0 == 1 && s.attempt == 0 && s.at >= from && s.at < to;
         broker.sent.iter().filter(hit).count()
@@ -23,7 +23,7 @@
             now,
             &[Event::HealthChecked { replica: ReplicaId(1), ok: true, latency: MS, utilization: None }],
         );
-        play(&mut broker, 10, |s| {
+        run_queries(&mut broker, 10, |s| {
             (s.replica.0 != 1 || s.at >= recovered_at || s.at < silent_from).then_some(80 * MS)
         });
     }
@@ -50,15 +50,15 @@
 #[test]
 fn a_slowdown_of_all_replicas_ejects_none() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 50, |_| Some(80 * MS));
-    play(&mut broker, 50, |_| Some(160 * MS));
+    run_queries(&mut broker, 50, |_| Some(80 * MS));
+    run_queries(&mut broker, 50, |_| Some(160 * MS));
     assert!(!broker.actions.iter().any(|(_, a)| matches!(a, Action::HealthCheck { .. })));
 }
 
 #[test]
 fn invalid_responses_neither_eject_a_replica_nor_start_its_slow_start() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 50, |_| Some(80 * MS));
+    run_queries(&mut broker, 50, |_| Some(80 * MS));
     // Each replica answers some parts with an invalid response; the parts go elsewhere.
     for _ in 0..20 {
         let before = broker.sent.len();
@@ -70,7 +70,7 @@
         broker.answer_all(80 * MS, before + invalid.len());
     }
     let (sent, start) = (broker.sent.len(), broker.now);
-    play(&mut broker, 100, |s| (s.at > start).then_some(80 * MS));
+    run_queries(&mut broker, 100, |s| (s.at > start).then_some(80 * MS));
     let first: Vec<&Sent> = broker.sent[sent..].iter().filter(|s| s.attempt == 0).collect();
     // Queries come every 40 ms; each part is sent with its query, and few queries are rejected.
     let at_once = first.iter().filter(|s| (s.at - start - 5 * MS).is_multiple_of(40 * MS)).count();
@@ -82,7 +82,7 @@
     let mut s = settings(Idempotency::Idempotent);
     s.retry_budget = None;
     let mut broker = ScriptedBroker::new(s);
-    for (start, dead) in [(0, false), (100 * MS, true)] {
+    for (start, is_ejected) in [(0, false), (100 * MS, true)] {
         let (_, actions) = broker.query(start, &[0], 2 * S);
         assert!(matches!(actions[0], Action::Send { .. }), "{actions:?}");
         // The three replicas of the shard in turn.
@@ -92,9 +92,9 @@
             broker.at(broker.now, &[end]);
         }
         let (_, actions) = broker.query(start + 60 * MS, &[0], 2 * S);
-        assert_eq!(matches!(actions[0], Action::Reject { .. }), dead, "{actions:?}");
-        if let Some(open) = broker.sent.last().filter(|_| !dead).cloned() {
-            let end = broker.ended(&open, Outcome::Cancelled);
+        assert_eq!(matches!(actions[0], Action::Reject { .. }), is_ejected, "{actions:?}");
+        if let Some(in_flight) = broker.sent.last().filter(|_| !is_ejected).cloned() {
+            let end = broker.ended(&in_flight, Outcome::Cancelled);
             broker.at(broker.now, &[end]);
         }
     }
@@ -103,17 +103,17 @@
 #[test]
 fn an_attempt_that_was_never_sent_does_not_eject_its_replica() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 20, |_| Some(20 * MS));
+    run_queries(&mut broker, 20, |_| Some(20 * MS));
     broker.idle(broker.now + S);
     let before = broker.sent.len();
     broker.query(broker.now, &[0], 2 * S);
     let first = broker.sent[before].clone();
     let not_sent = broker.ended(&first, Outcome::NotSent);
     broker.at(broker.now + 5 * MS, &[not_sent]);
-    let (again, next) = (broker.sent.len() - 1, broker.sent[broker.sent.len() - 1].replica);
-    assert!(again > before && next != first.replica, "the part is tried elsewhere");
-    broker.answer_all(20 * MS, again);
+    let (retry, next) = (broker.sent.len() - 1, broker.sent[broker.sent.len() - 1].replica);
+    assert!(retry > before && next != first.replica, "the part is tried elsewhere");
+    broker.answer_all(20 * MS, retry);
     broker.idle(broker.now + 3 * S);
-    let asked = broker.actions.iter().any(|(_, a)| *a == Action::HealthCheck { replica: first.replica });
-    assert!(!asked, "a replica that was sent nothing was taken for silent");
+    let is_checked = broker.actions.iter().any(|(_, a)| *a == Action::HealthCheck { replica: first.replica });
+    assert!(!is_checked, "a replica that was sent nothing was taken for silent");
 }
--- a/tests/policy/replica_selection.rs
+++ b/tests/policy/replica_selection.rs
@@ -7,7 +7,7 @@
 #[test]
 fn slower_replicas_are_selected_less_often_but_never_excluded() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 400, |s| Some(if s.replica.0 == 1 { 160 * MS } else { 80 * MS }));
+    run_queries(&mut broker, 400, |s| Some(if s.replica.0 == 1 { 160 * MS } else { 80 * MS }));
     let to = |n| broker.sent.iter().filter(|s| s.replica.0 == n && s.attempt == 0).count();
     assert!(to(1) > 0 && to(1) * 2 < to(0).min(to(2)), "{} {} {}", to(0), to(1), to(2));
 }
@@ -17,7 +17,7 @@
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     // One part in seven that goes to replica 1 runs for 350 ms; all else takes 80 ms.
     let costly = |s: &Sent| s.replica.0 == 1 && (s.part.0 / 100).is_multiple_of(7);
-    play(&mut broker, 300, |s| Some(if costly(s) { 350 * MS } else { 80 * MS }));
+    run_queries(&mut broker, 300, |s| Some(if costly(s) { 350 * MS } else { 80 * MS }));
     let to = |n| broker.sent.iter().filter(|s| s.replica.0 == n && s.attempt == 0).count();
     // Those not overtaken still count against it, so it keeps a part of its share, not all.
     assert!(to(1) * 12 > (to(0) + to(2)) / 2, "{} {} {}", to(0), to(1), to(2));
@@ -83,7 +83,7 @@
 #[test]
 fn a_broker_with_few_answers_adapts_within_seconds() {
     let (slow, recovered_at) = (20 * S, 40 * S);
-    let mut to_zero = vec![];
+    let mut sent_to_zero = vec![];
     for seed in 0..20 {
         let mut broker =
             ScriptedBroker::seeded(Settings { may_hedge: false, ..settings(Idempotency::Idempotent) }, seed);
@@ -105,11 +105,11 @@
                 broker.query(now, &[0], 2 * S);
             }
         }
-        to_zero.extend(broker.sent.iter().filter(|s| s.replica.0 == 0).map(|s| s.at));
+        sent_to_zero.extend(broker.sent.iter().filter(|s| s.replica.0 == 0).map(|s| s.at));
     }
     // A fair share is a third of twenty queries a second.
     let share = |from: Nanos, to: Nanos| {
-        let n = to_zero.iter().filter(|t| (from..to).contains(t)).count() as f64;
+        let n = sent_to_zero.iter().filter(|t| (from..to).contains(t)).count() as f64;
         n / (20.0 * ((to - from) / S) as f64)
     };
     let before = share(0, slow);
@@ -121,10 +121,10 @@
         share(recovered_at + 10 * S, 60 * S)
     );
     assert!(before > 0.25 && before < 0.42, "{before}");
-    let soon = share(slow + 2 * S, slow + 10 * S);
-    assert!(soon < 0.07, "two to ten seconds after it slowed {soon}");
-    let after = share(recovered_at + 10 * S, 60 * S);
-    assert!(after > 0.12, "ten seconds after it recovered {after}");
+    let share_while_slow = share(slow + 2 * S, slow + 10 * S);
+    assert!(share_while_slow < 0.07, "two to ten seconds after it slowed {share_while_slow}");
+    let share_after_recovery = share(recovered_at + 10 * S, 60 * S);
+    assert!(share_after_recovery > 0.12, "ten seconds after it recovered {share_after_recovery}");
 }
 
 #[test]
@@ -136,7 +136,7 @@
     let mut done = vec![];
     for step in 0..10_000u64 {
         let now = (step + 1) * 5 * MS;
-        end_some(&mut broker, now, &mut done, lost);
+        end_due(&mut broker, now, &mut done, lost);
         if step % 2 == 0 {
             broker.query(now, &[0, 2, 4], 2 * S);
         }
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -7,9 +7,10 @@
 #[test]
 fn parts_on_a_replica_that_became_silent_are_retried_elsewhere_in_time() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    play(&mut broker, 50, |_| Some(80 * MS));
+    run_queries(&mut broker, 50, |_| Some(80 * MS));
     let silent_from = broker.now;
-    let queries = play(&mut broker, 100, |s| (s.replica.0 != 1 || s.at < silent_from).then_some(80 * MS));
+    let queries =
+        run_queries(&mut broker, 100, |s| (s.replica.0 != 1 || s.at < silent_from).then_some(80 * MS));
     let complete = |q: &&RequestId| {
         let finals = broker.finals(**q);
         finals.len() == 1 && matches!(finals[0].1, Action::Answer { complete: true, .. })
@@ -24,13 +25,13 @@
 fn when_half_of_the_replicas_become_silent_at_once_no_part_waits_for_the_duplicate_budget() {
     let mut broker =
         ScriptedBroker::new(Settings { retry_budget: None, ..settings(Idempotency::Idempotent) });
-    play(&mut broker, 50, |_| Some(60 * MS));
+    run_queries(&mut broker, 50, |_| Some(60 * MS));
     let silent = |s: &Sent| s.replica.0 % 2 == 1;
     let (from, mut done) = (broker.sent.len(), vec![true; broker.sent.len()]);
     let queries: Vec<RequestId> = (0..20).map(|_| broker.query(broker.now, &[0, 2, 4], 3 * S).0).collect();
     let at_silent = broker.sent[from..].iter().filter(|s| silent(s)).count();
     for now in (1..100).map(|n| broker.now + n * 10 * MS).collect::<Vec<_>>() {
-        end_some(&mut broker, now, &mut done, silent);
+        end_due(&mut broker, now, &mut done, silent);
     }
     let n = queries.iter().filter(|q| matches!(broker.finals(**q)[..], [(_, Action::Answer { .. })])).count();
     assert!(
@@ -44,10 +45,10 @@
     let mut s = settings(Idempotency::Idempotent);
     s.classes[0].latency_objective = S / 2;
     let mut broker = ScriptedBroker::new(s);
-    play(&mut broker, 40, |_| Some(80 * MS));
+    run_queries(&mut broker, 40, |_| Some(80 * MS));
     let from = broker.sent.len();
     // All slow down alike until the broker rejects; attempts in flight are late everywhere then.
-    play(&mut broker, 100, |_| Some(350 * MS));
+    run_queries(&mut broker, 100, |_| Some(350 * MS));
     let rejected_at =
         broker.actions.iter().find(|(_, a)| matches!(a, Action::Reject { .. })).map(|(t, _)| *t);
     let t = rejected_at.expect("rejections under overload");
@@ -58,14 +59,14 @@
 /// One query, and then every 10 ms one of shards 0, 2 and 4 that is answered in 80 ms, for 1.2 s, each time
 /// with `other` after it. The first query's parts are never answered: gives when they were retried.
 fn retries_of_silent_query(broker: &mut ScriptedBroker, other: impl Fn(&mut ScriptedBroker)) -> Vec<Nanos> {
-    play(broker, 40, |_| Some(80 * MS));
+    run_queries(broker, 40, |_| Some(80 * MS));
     let (start, from) = (broker.now + MS, broker.sent.len());
     let (first, _) = broker.query(start, &[0, 2], 2 * S);
     let of_first = |s: &Sent| s.part.0 / 100 == first.0 / 100;
     let mut done = vec![false; broker.sent.len()];
     for step in 1..120 {
         let now = start + step * 10 * MS;
-        end_some(broker, now, &mut done, of_first);
+        end_due(broker, now, &mut done, of_first);
         broker.query(now, &[0, 2, 4], 2 * S);
         other(broker);
     }
@@ -108,29 +109,29 @@
 }
 
 #[test]
-fn duplicates_stay_in_proportion_to_own_parts_whatever_the_free_retries() {
+fn duplicates_stay_in_proportion_to_requests_regardless_of_free_retries() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     // A third of the parts run five times as long, wherever they go; no attempt fails.
-    play(&mut broker, 30, |s| {
+    run_queries(&mut broker, 30, |s| {
         Some(if (s.part.0 + s.part.0 / 100).is_multiple_of(3) { 400 * MS } else { 80 * MS })
     });
     let duplicates = broker.sent.iter().filter(|s| s.attempt > 0).count();
-    let taken = 30 + 3 * 30;
+    let received = 30 + 3 * 30;
     assert!(
-        duplicates <= taken / 10 + 1,
-        "{duplicates} duplicates with {taken} taken; 20 more would be free"
+        duplicates <= received / 10 + 1,
+        "{duplicates} duplicates with {received} taken; 20 more would be free"
     );
 }
 
 /// Overloaded replicas reject parts in a millisecond: three attempts at once lose a query that has seconds.
 #[test]
-fn a_part_that_was_rejected_twice_delays_its_last_attempt_until_queues_have_moved_on() {
+fn the_last_attempt_at_a_part_that_was_rejected_twice_is_delayed() {
     let mut broker = ScriptedBroker::new(Settings {
         may_hedge: false,
         retry_budget: None,
         ..settings(Idempotency::Idempotent)
     });
-    play(&mut broker, 50, |_| Some(60 * MS));
+    run_queries(&mut broker, 50, |_| Some(60 * MS));
     broker.answer_all(60 * MS, broker.sent.len());
     let start = broker.now + S;
     let (query, _) = broker.query(start, &[0], 2 * S);
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn a_non_idempotent_part_is_retried_only_when_it_never_ran() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (Outcome::ConnectionReset, false),
         (Outcome::TimedOut, false),
         (Outcome::Error, false),
@@ -57,7 +57,7 @@
         let end = broker.ended(&broker.sent[0].clone(), outcome);
         broker.at(20 * MS, &[end]);
         broker.idle(S);
-        assert_eq!(broker.sent.len() > 1, again, "{outcome:?}");
+        assert_eq!(broker.sent.len() > 1, is_retried, "{outcome:?}");
     }
 }
 
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_part_with_an_idempotency_key_that_may_have_run_is_retried_only_inside_its_window() {
-    for (at, again) in [(400 * MS, true), (600 * MS, false)] {
+    for (at, is_retried) in [(400 * MS, true), (600 * MS, false)] {
         let mut broker = ScriptedBroker::new(settings(Idempotency::IdempotencyKey { window: 500 * MS }));
         broker.query(0, &[0], 3 * S);
         let first = broker.sent[0].clone();
@@ -82,15 +82,15 @@
         broker.idle(2 * S);
         // Late retries inside the window are allowed too; what counts is that none is after it.
         assert!(broker.sent.iter().all(|s| s.at < 500 * MS), "{:?}", broker.sent);
-        assert_eq!(broker.sent.iter().any(|s| s.at == at), again);
+        assert_eq!(broker.sent.iter().any(|s| s.at == at), is_retried);
     }
 }
 
 #[test]
 fn nothing_is_sent_to_a_draining_or_removed_replica() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    let news = vec![line(0, ReplicaState::Draining, None), line(1, ReplicaState::Removed, None)];
-    broker.at(MS, &[Event::EndpointList { full: false, entries: news }]);
+    let changes = vec![line(0, ReplicaState::Draining, None), line(1, ReplicaState::Removed, None)];
+    broker.at(MS, &[Event::EndpointList { full: false, entries: changes }]);
     for k in 0..60 {
         broker.query(2 * MS + k * 20 * MS, &[4, 5, 0, 1], 2 * S);
         let from = broker.sent.len().saturating_sub(4);
@@ -108,29 +108,32 @@
         &[Event::EndpointList { full: false, entries: vec![line(2, ReplicaState::Active, Some(MS))] }],
     );
     // The two other replicas of the shard were removed: parts of shard 2 have nowhere else to go.
-    let gone = vec![line(3, ReplicaState::Removed, None), line(4, ReplicaState::Removed, None)];
-    broker.at(2 * MS, &[Event::EndpointList { full: false, entries: gone }]);
-    let mut taken = 0;
+    let removals = vec![line(3, ReplicaState::Removed, None), line(4, ReplicaState::Removed, None)];
+    broker.at(2 * MS, &[Event::EndpointList { full: false, entries: removals }]);
+    let mut received = 0;
     for k in 0..100 {
         broker.query(3 * MS + k * 20 * MS, &[2, 5, 0], 2 * S);
-        taken += 3;
+        received += 3;
     }
-    let cold = broker.sent.iter().filter(|s| s.replica == ReplicaId(2)).count() as f64;
+    let sent_to_warming = broker.sent.iter().filter(|s| s.replica == ReplicaId(2)).count() as f64;
     // Two seconds in, it can do 0.3 of its capacity for certain; half of three times that is what it may get.
-    let share = taken as f64 / 4.0;
-    assert!(cold >= 1.0 && cold <= 0.5 * 3.0 * 0.3 * share + 2.0, "{cold} of {share}");
+    let share = received as f64 / 4.0;
+    assert!(
+        sent_to_warming >= 1.0 && sent_to_warming <= 0.5 * 3.0 * 0.3 * share + 2.0,
+        "{sent_to_warming} of {share}"
+    );
 }
 
 #[test]
 fn answers_are_marked_complete_and_given_only_from_answered_parts() {
     let mut s = settings(Idempotency::Idempotent);
     s.classes[0].min_answer_share = 0.6;
-    for (shards, whole) in [(vec![0, 3, 5], None), (vec![0, 2, 3, 5], Some(false))] {
+    for (shards, is_complete) in [(vec![0, 3, 5], None), (vec![0, 2, 3, 5], Some(false))] {
         let mut broker = ScriptedBroker::new(s.clone());
         let (query, _) = broker.query(0, &shards, 2 * S);
         broker.now = 100 * MS;
         // All but one, or, of three, all but two.
-        let (last, out) = (shards.len() as u128, if whole.is_some() { 1 } else { 2 });
+        let (last, out) = (shards.len() as u128, if is_complete.is_some() { 1 } else { 2 });
         let ends: Vec<Event> = broker
             .sent
             .iter()
@@ -139,12 +142,12 @@
             .collect();
         broker.at(100 * MS, &ends);
         broker.idle(3 * S);
-        let given = broker.finals(query);
-        match whole {
-            Some(whole) => {
-                assert!(matches!(given[..], [(_, Action::Answer { complete: w, .. })] if w == whole))
+        let finals = broker.finals(query);
+        match is_complete {
+            Some(is_complete) => {
+                assert!(matches!(finals[..], [(_, Action::Answer { complete: w, .. })] if w == is_complete))
             }
-            None => assert!(matches!(given[..], [(_, Action::Fail { .. })]), "{given:?}"),
+            None => assert!(matches!(finals[..], [(_, Action::Fail { .. })]), "{finals:?}"),
         }
     }
     let mut broker = ScriptedBroker::new(s);
@@ -183,7 +186,7 @@
     s.retry_budget = Some(RetryBudget { free: 2.0, share: 0.1, window: 2 * S });
     s.max_attempts = 9;
     let mut broker = ScriptedBroker::new(s);
-    let mut taken: Vec<Nanos> = vec![];
+    let mut received: Vec<Nanos> = vec![];
     for k in 0..300 {
         let now = 5 * MS + k * 20 * MS;
         broker.now = now;
@@ -195,14 +198,18 @@
             .collect();
         broker.at(now, &ends);
         broker.query(now + 5 * MS, &[0, 2, 4], S);
-        taken.extend([now + 5 * MS; 4]);
+        received.extend([now + 5 * MS; 4]);
     }
     let retries: Vec<Nanos> = broker.sent.iter().filter(|x| x.attempt > 0).map(|x| x.at).collect();
     assert!(retries.len() > 10, "no retries were seen");
     for t in &retries {
         let inside = |v: &&Nanos| **v > t.saturating_sub(2 * S) && *v <= t;
-        let (made, took) = (retries.iter().filter(inside).count(), taken.iter().filter(inside).count());
-        assert!(made as f64 <= 2.0 + 0.1 * took as f64, "{made} against {took} taken");
+        let (sent_retries, requests) =
+            (retries.iter().filter(inside).count(), received.iter().filter(inside).count());
+        assert!(
+            sent_retries as f64 <= 2.0 + 0.1 * requests as f64,
+            "{sent_retries} against {requests} taken"
+        );
     }
 }
 
@@ -236,7 +243,7 @@
     let lines =
         (0..3).map(|n| ReplicaEntry { weight: weights[n as usize], ..line(n, ReplicaState::Active, None) });
     broker.at(0, &[Event::EndpointList { full: true, entries: lines.collect() }]);
-    let mut came = [0.0; 3];
+    let mut counts = [0.0; 3];
     for n in 0..4000u64 {
         let now = n * 40 * MS;
         let (_, actions) = broker.query(now, &[0], 2 * S);
@@ -244,16 +251,19 @@
         else {
             panic!("{actions:?}")
         };
-        came[replica.0 as usize] += 1.0;
+        counts[replica.0 as usize] += 1.0;
         let sent = broker.sent.last().unwrap().clone();
         broker.now = now + 20 * MS;
         let ended = broker.ended(&sent, Outcome::Ok);
         broker.at(now + 20 * MS, &[ended]);
         broker.sent.clear();
     }
-    for (share, weight) in came.iter().zip(weights) {
-        let (share, wanted) = (share / 4000.0, weight / 10.0);
+    for (share, weight) in counts.iter().zip(weights) {
+        let (share, expected) = (share / 4000.0, weight / 10.0);
         // Three standard errors of a share drawn 4,000 times.
-        assert!((share - wanted).abs() < 3.0 * f64::sqrt(wanted * (1.0 - wanted) / 4000.0), "{came:?}");
+        assert!(
+            (share - expected).abs() < 3.0 * f64::sqrt(expected * (1.0 - expected) / 4000.0),
+            "{counts:?}"
+        );
     }
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -42,16 +42,18 @@
             entries: (2..6).map(|n| line(n, ReplicaState::Active, Some(1))).collect(),
         }],
     );
-    play(&mut broker, 200, |_| Some(60 * MS));
+    run_queries(&mut broker, 200, |_| Some(60 * MS));
     let parts = 600.0;
     // Two warm ones and four at a fifth: at half of the multiple, a warming one may have so much of it.
-    let whole = f64::max(2.0 + 4.0 * slow_start_share, 6.0 * 0.5 / 0.8);
-    let most = 0.5 * 3.0 * slow_start_share * parts / whole + 2.0;
+    let fleet_capacity = f64::max(2.0 + 4.0 * slow_start_share, 6.0 * 0.5 / 0.8);
+    let max_parts = 0.5 * 3.0 * slow_start_share * parts / fleet_capacity + 2.0;
     for n in 2..6 {
         let got = broker.sent.iter().filter(|s| s.replica == ReplicaId(n)).count() as f64;
         assert!(
-            got <= most && got > 0.7 * most && got > 0.5 * 3.0 * slow_start_share * parts / 6.0 + 2.0,
-            "replica {n} got {got}, may have {most}"
+            got <= max_parts
+                && got > 0.7 * max_parts
+                && got > 0.5 * 3.0 * slow_start_share * parts / 6.0 + 2.0,
+            "replica {n} got {got}, may have {max_parts}"
         );
     }
 }
@@ -75,11 +77,14 @@
             entries: (0..6).map(|n| line(n, ReplicaState::Active, Some(1))).collect(),
         }],
     );
-    play(&mut broker, 200, |_| Some(60 * MS));
+    run_queries(&mut broker, 200, |_| Some(60 * MS));
     // Were these 600 parts all that six warm ones can do, a cold one could do so many.
-    let can = slow_start_share * 600.0 / 6.0;
+    let cold_capacity = slow_start_share * 600.0 / 6.0;
     for n in 0..6 {
         let got = broker.sent.iter().filter(|s| s.replica == ReplicaId(n)).count() as f64;
-        assert!(got > can && got < multiple * can, "replica {n} got {got}, can do {can}");
+        assert!(
+            got > cold_capacity && got < multiple * cold_capacity,
+            "replica {n} got {got}, can do {cold_capacity}"
+        );
     }
 }
