--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which queries are taken, and Retry-After.
+//! Admission control, and the Retry-After time of rejections.
 
 use crate::broker::*;
 use crate::common::*;
@@ -87,7 +87,8 @@
         broker.answer_all(80 * MS, from);
     }
     let sent = broker.sent.len();
-    // Usually 2 s are left; with 1.5 s of 3 s left, 1.5 s are gone and the objective of 1 s has passed.
+    // The usual time-out is 2 s. With 1.5 s of the deadline of 3 s left, 1.5 s have passed, and with them the
+    // objective of 1 s.
     let (query, _) = broker.query(broker.now + MS, &[0, 2], 3 * S / 2);
     assert!(matches!(broker.finals(query)[..], [(_, Action::Reject { .. })]));
     assert_eq!(broker.sent.len(), sent);
@@ -122,7 +123,7 @@
 #[test]
 fn lost_answers_do_not_count_as_load() {
     let rejected: usize = (0..10).map(rejections_while_every_fifth_part_is_lost).sum();
-    assert!(rejected <= 40, "{rejected} of 400 rejected although what is answered comes in 80 ms");
+    assert!(rejected <= 40, "{rejected} of 400 rejected although the answered parts take 80 ms");
 }
 
 fn rejections_while_every_fifth_part_is_lost(seed: u64) -> usize {
--- a/tests/policy/answer.rs
+++ b/tests/policy/answer.rs
@@ -12,7 +12,7 @@
         let mut broker = ScriptedBroker::new(s);
         let (query, _) = broker.query(MS, &[0, 2], 2 * S + S / 2);
         broker.idle(S + S / 2);
-        assert_eq!(broker.finals(query).is_empty(), is_kept, "room for {capacity}");
+        assert_eq!(broker.finals(query).is_empty(), is_kept, "capacity {capacity}");
     }
 }
 
@@ -28,17 +28,17 @@
     let end = broker.ended(&first, Outcome::TimedOut);
     broker.at(broker.now, &[end]);
     broker.idle(2 * S - 100 * MS);
-    assert!(broker.finals(query).is_empty(), "a client whose query failed now would retry in vain");
+    assert!(broker.finals(query).is_empty(), "failing the query now would cause a useless retry");
     broker.idle(2 * S + 20 * MS);
     assert!(matches!(broker.finals(query)[..], [(t, Action::Fail { .. })] if t <= 2 * S + 20 * MS));
-    assert_eq!(broker.sent.len(), sent, "a part was sent for a query whose answer has no weight any more");
+    assert_eq!(broker.sent.len(), sent, "a part was sent for a query whose answer no longer has any value");
 }
 
 #[test]
 fn a_query_with_nothing_left_to_try_is_rejected_at_once_with_retry_after() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     let (query, _) = broker.query(0, &[0], 3 * S);
-    // Every attempt that is allowed ends in an error within a few rounds.
+    // Every allowed attempt ends with an error within a few rounds.
     for step in 1..20 {
         broker.now = step * 10 * MS;
         let seen = broker.actions.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count();
@@ -61,7 +61,7 @@
     let mut done = 0;
     while broker.now < 3 * S {
         let now = broker.now + 10 * MS;
-        // The attempts' time-outs end them a little after the objective.
+        // The attempts time out shortly after the objective.
         let timed_out = now > S + 60 * MS && done < broker.sent.len();
         let ends = if timed_out { broker.sent.split_off(done) } else { vec![] };
         broker.now = now;
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_query_whose_replicas_were_all_removed_is_rejected_at_once() {
-    // Nothing is in flight and no replica is left: waiting for the client's deadline would gain nothing.
+    // Nothing is in flight and no replica is left: waiting until the client's deadline would be useless.
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     let (query, _) = broker.query(0, &[0], 2 * S);
     let removals = (0..6).map(|n| line(n, ReplicaState::Removed, None)).collect();
--- a/tests/policy/broker.rs
+++ b/tests/policy/broker.rs
@@ -1,4 +1,4 @@
-//! One broker's decisions under test: scripted events in, actions out.
+//! Test harness: drives the policy of one broker with scripted events and records its actions.
 
 use crate::common::*;
 use pebbleturn::*;
@@ -35,7 +35,7 @@
         broker
     }
 
-    /// One round; gives back its actions.
+    /// Runs one round and returns its actions.
     pub fn at(&mut self, now: Nanos, events: &[Event]) -> Vec<Action> {
         self.now = now;
         let mut actions = vec![];
@@ -50,7 +50,8 @@
         actions
     }
 
-    /// Sends a query with parts for these shards; ids are job * 100, then + 1 + index.
+    /// Sends a query with parts for these shards. The query's id is job * 100, and those of
+    /// its parts are job * 100 + 1 + index.
     pub fn query(&mut self, now: Nanos, shards: &[u32], time_left: Nanos) -> (RequestId, Vec<Action>) {
         self.job += 1;
         let (job, parts) = (self.job, shards.len() as u32);
@@ -80,7 +81,7 @@
         Event::AttemptEnded { part, replica, attempt, latency, outcome, utilization: None }
     }
 
-    /// Rounds every 10 ms up to `until`.
+    /// Runs a round every 10 ms up to `until`.
     pub fn idle(&mut self, until: Nanos) {
         while self.now < until {
             let next = (self.now + 10 * MS).min(until);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Answers all attempts from number `from` on after `latency`, and advances to then.
+    /// Advances the time by `latency`, then answers all attempts from the one at index `from` on.
     pub fn answer_all(&mut self, latency: Nanos, from: usize) {
         self.now += latency;
         let events: Vec<Event> = self.sent[from..].iter().map(|s| self.ended(s, Outcome::Ok)).collect();
@@ -106,7 +107,8 @@
     }
 }
 
-/// Runs `n` queries of three parts, 40 ms apart; `latency` gives how long an attempt takes, `None`: for ever.
+/// Runs `n` queries of three parts, 40 ms apart. `latency` returns an attempt's latency, `None` if it has no
+/// answer.
 pub fn run_queries(
     broker: &mut ScriptedBroker,
     n: u64,
@@ -134,12 +136,13 @@
     queries
 }
 
+/// Number of attempts that were sent at the same time as the first attempt at their part.
 pub fn hedges(broker: &ScriptedBroker) -> usize {
     let first = |s: &Sent| broker.sent.iter().find(|f| f.part == s.part && f.attempt == 0).map(|f| f.at);
     broker.sent.iter().filter(|s| s.attempt > 0 && first(s) == Some(s.at)).count()
 }
 
-/// Ends what has run for 80 ms, or 1 s where it is lost.
+/// Ends the attempts that are due by `now`: with an answer after 80 ms, or with a time-out after 1 s if lost.
 pub fn end_due(broker: &mut ScriptedBroker, now: Nanos, done: &mut Vec<bool>, lost: impl Fn(&Sent) -> bool) {
     broker.now = now;
     done.resize(broker.sent.len(), false);
--- a/tests/policy/hedging.rs
+++ b/tests/policy/hedging.rs
@@ -35,7 +35,7 @@
 #[test]
 fn no_hedged_requests_above_the_load_limit() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    // Lightly loaded at first, then four times as slow everywhere: estimated as a load of three quarters.
+    // Light load at first; then all replicas are four times as slow: an estimated load of three quarters.
     run_queries(&mut broker, 100, |s| Some((60 + 15 * (s.replica.0 as u64 % 3)) * MS));
     run_queries(&mut broker, 60, |s| Some((240 + 60 * (s.replica.0 as u64 % 3)) * MS));
     let before = hedges(&broker);
--- a/tests/policy/list_lease.rs
+++ b/tests/policy/list_lease.rs
@@ -1,17 +1,18 @@
-//! The lease of the endpoint list: who gets attempts while nothing confirms it.
+//! The lease of the endpoint list: which replicas get attempts while the list is not confirmed.
 
 use crate::broker::*;
 use crate::common::*;
 use pebbleturn::*;
 
-/// Spreads the numbers of attempts, so that who is accepted follows no pattern.
+/// Multiplier that scrambles the attempt numbers, so that rejections follow no pattern.
 const HASH_MULTIPLIER: usize = 0x9E37_79B9;
 
-/// Replica 1 turns all away from `refuses_from` on, replicas 0 and 2 so many of their parts; all hold shard 0.
+/// Three replicas that hold shard 0. Replica 1 rejects all attempts from `rejects_from` on; replicas 0 and 2
+/// accept one in `others_accept_one_in`.
 struct Fleet {
     broker: ScriptedBroker,
     rejects_from: Nanos,
-    /// Of so many attempts the other replicas accept one.
+    /// The other replicas accept one in this many attempts.
     others_accept_one_in: usize,
     ended: usize,
 }
@@ -47,7 +48,7 @@
         self.broker.ended(sent, if rejects { Outcome::Rejected } else { Outcome::Ok })
     }
 
-    /// Attempts at a replica from this time on.
+    /// Number of attempts that were sent to a replica from `from` on.
     fn attempts(&self, replica: u32, from: Nanos) -> usize {
         self.broker.sent.iter().filter(|sent| sent.replica.0 == replica && sent.at >= from).count()
     }
@@ -57,7 +58,8 @@
     Event::ListUnconfirmed { since, lease_end: since + 750 * MS, proof_lifetime: 7 * S }
 }
 
-/// Attempts at the replicas 0, 1 and 2 after the lease, which begins 0.5 s after replica 1 began to refuse.
+/// Number of attempts at replicas 0, 1 and 2 after the lease, which starts 0.5 s after replica 1 begins to
+/// reject.
 fn attempts_after_lease(seed: u64, others_accept_one_in: usize, has_lease: bool) -> [usize; 3] {
     let mut fleet = Fleet::new(seed, 2 * S, others_accept_one_in);
     fleet.run(2500 * MS);
@@ -82,7 +84,8 @@
     }
 }
 
-/// Where most is refused, the replicas that are left serve no less than all did without a lease.
+/// When most attempts are rejected, the remaining replicas get at least as many attempts with the lease as
+/// without.
 #[test]
 fn the_lease_does_not_reduce_the_attempts_at_accepting_replicas() {
     let at_others = |has_lease| {
@@ -93,15 +96,16 @@
     assert!(with >= without, "{with} with a lease, {without} without");
 }
 
-/// Replica 1 refuses all from 2 s on, the list is confirmed last at 2.5 s. Attempts at it from `since` after that on, for
-/// 20 s, when it accepts again from 3 s after that time on.
+/// Number of attempts at replica 1 within 20 s, from `since` after the list's last confirmation on. Replica 1
+/// rejects all attempts from 2 s on, the list is last confirmed at 2.5 s, and replica 1 accepts attempts
+/// again from 3 s after that.
 fn attempts_at_rejecting_replica(accepts_once: bool, is_confirmed: bool, since: Nanos) -> usize {
     let mut fleet = Fleet::new(7, 2 * S, 1);
     fleet.run(2500 * MS);
     let now = fleet.broker.now;
     fleet.broker.at(now, &[unconfirmed(now)]);
     if accepts_once {
-        // Before the lease is over it accepts some, and then refuses again.
+        // It accepts some attempts before the lease expires, and then rejects again.
         fleet.rejects_from = now + 300 * MS;
         fleet.run(now + 300 * MS);
     }
@@ -124,8 +128,8 @@
     assert!(attempts_at_rejecting_replica(false, true, 3 * S) > 0);
 }
 
-/// One that accepted attempts since the list was confirmed is an overloaded one; one that did not may drain, and a drain
-/// takes a minute at most.
+/// A replica that has accepted attempts since the list was last confirmed is overloaded; one that has not may
+/// be draining, and a drain takes a minute at most.
 #[test]
 fn suspicion_of_a_drain_expires_later_if_nothing_was_accepted() {
     assert!(attempts_at_rejecting_replica(true, false, 10 * S) > 0);
@@ -150,7 +154,8 @@
     assert_eq!(fleet.attempts(1, lease_end), 0);
 }
 
-/// Where all refuse, only the one that accepted an attempt last is tried: one that drains has refused for longest.
+/// If all replicas reject, only the last one to accept an attempt is tried: a draining one has rejected for
+/// longest.
 #[test]
 fn if_all_replicas_reject_the_last_to_accept_is_tried() {
     for seed in 0..20 {
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decision module by scripted events: the rules, the mechanism, and its behaviour under faults.
+//! Tests of the policy with scripted events: its rules, its mechanisms, and its behaviour under faults.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy/outlier_ejection.rs
+++ b/tests/policy/outlier_ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of silent and failed replicas, and their return.
+//! Ejection of unresponsive and failed replicas, and their return.
 
 use crate::broker::*;
 use crate::common::*;
@@ -14,7 +14,7 @@
         let hit = |s: &&Sent| s.replica.0 == 1 && s.attempt == 0 && s.at >= from && s.at < to;
         broker.sent.iter().filter(hit).count()
     };
-    assert_eq!(firsts(&broker, silent_from + 2 * S, broker.now), 0, "parts are still drawn to it");
+    assert_eq!(firsts(&broker, silent_from + 2 * S, broker.now), 0, "parts are still sent to it");
     assert!(broker.actions.iter().any(|(_, a)| *a == Action::HealthCheck { replica: ReplicaId(1) }));
     let recovered_at = broker.now;
     for _ in 0..20 {
@@ -27,7 +27,7 @@
             (s.replica.0 != 1 || s.at >= recovered_at || s.at < silent_from).then_some(80 * MS)
         });
     }
-    assert!(firsts(&broker, recovered_at + 2 * S, broker.now) > 10, "it did not come back");
+    assert!(firsts(&broker, recovered_at + 2 * S, broker.now) > 10, "it did not return");
 }
 
 #[test]
@@ -85,7 +85,7 @@
     for (start, is_ejected) in [(0, false), (100 * MS, true)] {
         let (_, actions) = broker.query(start, &[0], 2 * S);
         assert!(matches!(actions[0], Action::Send { .. }), "{actions:?}");
-        // The three replicas of the shard in turn.
+        // Each of the three replicas of the shard in turn resets its connection.
         for _ in 0..3 {
             broker.now += 10 * MS;
             let end = broker.ended(&broker.sent.last().expect("sent").clone(), Outcome::ConnectionReset);
@@ -111,9 +111,9 @@
     let not_sent = broker.ended(&first, Outcome::NotSent);
     broker.at(broker.now + 5 * MS, &[not_sent]);
     let (retry, next) = (broker.sent.len() - 1, broker.sent[broker.sent.len() - 1].replica);
-    assert!(retry > before && next != first.replica, "the part is tried elsewhere");
+    assert!(retry > before && next != first.replica, "the part is retried on another replica");
     broker.answer_all(20 * MS, retry);
     broker.idle(broker.now + 3 * S);
     let is_checked = broker.actions.iter().any(|(_, a)| *a == Action::HealthCheck { replica: first.replica });
-    assert!(!is_checked, "a replica that was sent nothing was taken for silent");
+    assert!(!is_checked, "a replica to which nothing was sent was treated as unresponsive");
 }
--- a/tests/policy/replica_selection.rs
+++ b/tests/policy/replica_selection.rs
@@ -1,4 +1,4 @@
-//! The weighted draw of a replica and the latencies behind it.
+//! The weighted random choice of a replica, and the latency estimates that it uses.
 
 use crate::broker::*;
 use crate::common::*;
@@ -15,11 +15,11 @@
 #[test]
 fn costly_parts_overtaken_by_others_do_not_count_against_their_replica() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    // One part in seven that goes to replica 1 runs for 350 ms; all else takes 80 ms.
+    // One in seven of the parts on replica 1 takes 350 ms; all other parts take 80 ms.
     let costly = |s: &Sent| s.replica.0 == 1 && (s.part.0 / 100).is_multiple_of(7);
     run_queries(&mut broker, 300, |s| Some(if costly(s) { 350 * MS } else { 80 * MS }));
     let to = |n| broker.sent.iter().filter(|s| s.replica.0 == n && s.attempt == 0).count();
-    // Those not overtaken still count against it, so it keeps a part of its share, not all.
+    // Parts that are not overtaken still count against it, so it keeps only some of its share.
     assert!(to(1) * 12 > (to(0) + to(2)) / 2, "{} {} {}", to(0), to(1), to(2));
 }
 
@@ -52,7 +52,7 @@
         for seed in 0..20 {
             let mut broker = ScriptedBroker::seeded(settings(Idempotency::Idempotent), seed);
             let mut ends: Vec<(Nanos, Sent)> = vec![];
-            // One query of three parts every three seconds: a replica answers every six.
+            // One query of three parts every three seconds: each replica answers one part every six seconds.
             for k in 0..40 {
                 let from = broker.sent.len();
                 broker.query(MS + k * 3 * S, &[0, 2, 4], 2 * S);
@@ -74,12 +74,15 @@
         n as f64 / all as f64
     };
     let (slow, even) = (firsts(320 * MS), firsts(80 * MS));
-    assert!(slow > 0.0 && slow < even / 2.0, "{slow} of the parts went to it, {even} were it like the rest");
+    assert!(
+        slow > 0.0 && slow < even / 2.0,
+        "{slow} of the parts went to it, {even} if it is as fast as the rest"
+    );
 }
 
-/// One of many brokers gets an answer of a replica every few seconds: a mean of five answers is ten seconds
-/// old. Over twenty such brokers: how long until a replica that slowed gets less than a fifth of its
-/// share, and one that has recovered gets a third of it again.
+/// A broker among many gets an answer of each replica only every few seconds, so that a mean of five answers
+/// is ten seconds old. Checks over twenty such brokers that a replica that has slowed down soon gets less
+/// than a fifth of its share, and that one that has recovered gets a third of it again.
 #[test]
 fn a_broker_with_few_answers_adapts_within_seconds() {
     let (slow, recovered_at) = (20 * S, 40 * S);
@@ -122,9 +125,9 @@
     );
     assert!(before > 0.25 && before < 0.42, "{before}");
     let share_while_slow = share(slow + 2 * S, slow + 10 * S);
-    assert!(share_while_slow < 0.07, "two to ten seconds after it slowed {share_while_slow}");
+    assert!(share_while_slow < 0.07, "share two to ten seconds after it slowed down: {share_while_slow}");
     let share_after_recovery = share(recovered_at + 10 * S, 60 * S);
-    assert!(share_after_recovery > 0.12, "ten seconds after it recovered {share_after_recovery}");
+    assert!(share_after_recovery > 0.12, "share from ten seconds after it recovered: {share_after_recovery}");
 }
 
 #[test]
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -19,8 +19,8 @@
     assert!(served >= 65, "{served} of 70 answered completely");
 }
 
-/// A zone becomes silent: trials of its replicas use up the duplicate budget, but the parts in flight there
-/// run nowhere, so that their retries are no duplicates.
+/// A zone becomes unresponsive: trials of its replicas use up the duplicate budget. The parts in flight there
+/// are not running anywhere, so their retries are no duplicates and must not wait for that budget.
 #[test]
 fn when_half_of_the_replicas_become_silent_at_once_no_part_waits_for_the_duplicate_budget() {
     let mut broker =
@@ -36,7 +36,7 @@
     let n = queries.iter().filter(|q| matches!(broker.finals(**q)[..], [(_, Action::Answer { .. })])).count();
     assert!(
         at_silent >= 20 && n == 20,
-        "{at_silent} parts were at silent ones, {n} of 20 answered in the objective"
+        "{at_silent} parts were sent to silent replicas, {n} of 20 queries were answered within the objective"
     );
 }
 
@@ -47,7 +47,7 @@
     let mut broker = ScriptedBroker::new(s);
     run_queries(&mut broker, 40, |_| Some(80 * MS));
     let from = broker.sent.len();
-    // All slow down alike until the broker rejects; attempts in flight are late everywhere then.
+    // All replicas slow down alike until the broker rejects queries; all attempts in flight are late then.
     run_queries(&mut broker, 100, |_| Some(350 * MS));
     let rejected_at =
         broker.actions.iter().find(|(_, a)| matches!(a, Action::Reject { .. })).map(|(t, _)| *t);
@@ -56,8 +56,8 @@
     assert_eq!(late, 0);
 }
 
-/// One query, and then every 10 ms one of shards 0, 2 and 4 that is answered in 80 ms, for 1.2 s, each time
-/// with `other` after it. The first query's parts are never answered: gives when they were retried.
+/// Sends a query whose parts are never answered, and then, every 10 ms for 1.2 s, a query for shards 0, 2 and
+/// 4 that is answered in 80 ms, followed by `other`. Returns when the parts of the first query were retried.
 fn retries_of_silent_query(broker: &mut ScriptedBroker, other: impl Fn(&mut ScriptedBroker)) -> Vec<Nanos> {
     run_queries(broker, 40, |_| Some(80 * MS));
     let (start, from) = (broker.now + MS, broker.sent.len());
@@ -86,7 +86,7 @@
 #[test]
 fn lost_parts_are_retried_even_by_a_broker_that_rejects_for_load() {
     let mut s = settings(Idempotency::Idempotent);
-    // A class that nothing here is fast enough for.
+    // A class whose objective no replica can meet.
     s.classes.push(Class { latency_objective: 25 * MS, ..s.classes[0].clone() });
     let mut broker = ScriptedBroker::new(s);
     let at = retries_of_silent_query(&mut broker, |broker| {
@@ -111,7 +111,7 @@
 #[test]
 fn duplicates_stay_in_proportion_to_requests_regardless_of_free_retries() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    // A third of the parts run five times as long, wherever they go; no attempt fails.
+    // A third of the parts take five times as long on any replica; no attempt fails.
     run_queries(&mut broker, 30, |s| {
         Some(if (s.part.0 + s.part.0 / 100).is_multiple_of(3) { 400 * MS } else { 80 * MS })
     });
@@ -119,11 +119,12 @@
     let received = 30 + 3 * 30;
     assert!(
         duplicates <= received / 10 + 1,
-        "{duplicates} duplicates with {received} taken; 20 more would be free"
+        "{duplicates} duplicates for {received} requests; the budget has 20 free retries"
     );
 }
 
-/// Overloaded replicas reject parts in a millisecond: three attempts at once lose a query that has seconds.
+/// Overloaded replicas reject parts within a millisecond: three attempts in a row would fail a query that has
+/// seconds left.
 #[test]
 fn the_last_attempt_at_a_part_that_was_rejected_twice_is_delayed() {
     let mut broker = ScriptedBroker::new(Settings {
@@ -147,7 +148,7 @@
     assert_eq!(attempts(&broker).len(), 2, "{:?}", attempts(&broker));
     broker.idle(start + 300 * MS);
     assert!(attempts(&broker).len() == 3 && attempts(&broker)[2] >= 40 * MS, "{:?}", attempts(&broker));
-    // With little time left it is made at once.
+    // With little time left, the last attempt is sent at once.
     let (query, _) = broker.query(broker.now, &[0], 2 * S);
     broker.idle(broker.now + 920 * MS);
     for _ in 0..2 {
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -1,4 +1,5 @@
-//! The six rules, each by scripted events. Each test fails when its guard is taken out of `src/policy/`.
+//! The policy's six rules, tested with scripted events. Each test fails if the code that enforces its rule is
+//! removed from `src/policy/`.
 
 use crate::broker::*;
 use crate::common::*;
@@ -80,7 +81,7 @@
         let end = broker.ended(&first, Outcome::ConnectionReset);
         broker.at(at, &[end]);
         broker.idle(2 * S);
-        // Late retries inside the window are allowed too; what counts is that none is after it.
+        // Retries of a late part are allowed inside the window too; there must be none after it.
         assert!(broker.sent.iter().all(|s| s.at < 500 * MS), "{:?}", broker.sent);
         assert_eq!(broker.sent.iter().any(|s| s.at == at), is_retried);
     }
@@ -107,7 +108,7 @@
         MS,
         &[Event::EndpointList { full: false, entries: vec![line(2, ReplicaState::Active, Some(MS))] }],
     );
-    // The two other replicas of the shard were removed: parts of shard 2 have nowhere else to go.
+    // The two other replicas of shard 2 are removed, so its parts can go to no other replica.
     let removals = vec![line(3, ReplicaState::Removed, None), line(4, ReplicaState::Removed, None)];
     broker.at(2 * MS, &[Event::EndpointList { full: false, entries: removals }]);
     let mut received = 0;
@@ -116,7 +117,7 @@
         received += 3;
     }
     let sent_to_warming = broker.sent.iter().filter(|s| s.replica == ReplicaId(2)).count() as f64;
-    // Two seconds in, it can do 0.3 of its capacity for certain; half of three times that is what it may get.
+    // After two seconds it has at least 0.3 of its capacity; it may get half of three times that.
     let share = received as f64 / 4.0;
     assert!(
         sent_to_warming >= 1.0 && sent_to_warming <= 0.5 * 3.0 * 0.3 * share + 2.0,
@@ -132,7 +133,7 @@
         let mut broker = ScriptedBroker::new(s.clone());
         let (query, _) = broker.query(0, &shards, 2 * S);
         broker.now = 100 * MS;
-        // All but one, or, of three, all but two.
+        // All parts but one are answered, or, of three, all but two.
         let (last, out) = (shards.len() as u128, if is_complete.is_some() { 1 } else { 2 });
         let ends: Vec<Event> = broker
             .sent
@@ -208,7 +209,7 @@
             (retries.iter().filter(inside).count(), received.iter().filter(inside).count());
         assert!(
             sent_retries as f64 <= 2.0 + 0.1 * requests as f64,
-            "{sent_retries} against {requests} taken"
+            "{sent_retries} retries for {requests} requests"
         );
     }
 }
@@ -237,7 +238,7 @@
 
 #[test]
 fn parts_are_shared_by_replica_weight() {
-    // Replicas 0 and 3 hold shard 0 together with others; all alike but for their weights.
+    // Replicas 0, 1 and 2 hold shard 0; they differ only in their weights.
     let mut broker = ScriptedBroker::new(Settings { may_hedge: false, ..settings(Idempotency::Idempotent) });
     let weights = [1.0, 3.0, 6.0];
     let lines =
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -9,7 +9,7 @@
     let mut broker = ScriptedBroker::new(Settings { may_hedge: false, ..settings(Idempotency::Idempotent) });
     let cold = (0..3).map(|n| line(n, ReplicaState::Active, Some(1))).collect();
     broker.at(MS, &[Event::EndpointList { full: false, entries: cold }]);
-    // Shard 0 lies on replicas 0, 1 and 2: a part each, and their shares of what comes meanwhile are small.
+    // Replicas 0, 1 and 2 hold shard 0: each gets one part at once, and only a small share of the next ones.
     for n in 0..4 {
         broker.query((2 + n) * MS, &[0], 2 * S);
     }
@@ -23,8 +23,8 @@
     );
 }
 
-/// After a zone came back, or a release, most of the fleet warms up: parts must go to them up to their
-/// capacity, or the few warm ones are overloaded.
+/// After the return of a zone, or after a release, most of the fleet is warming up: these replicas must get
+/// parts up to their capacity, or the few warm ones are overloaded.
 #[test]
 fn where_most_replicas_warm_up_each_gets_its_share_of_the_present_capacity() {
     let settings = Settings {
@@ -44,7 +44,8 @@
     );
     run_queries(&mut broker, 200, |_| Some(60 * MS));
     let parts = 600.0;
-    // Two warm ones and four at a fifth: at half of the multiple, a warming one may have so much of it.
+    // Two warm replicas, and four with a fifth of their capacity. A warming one may get half of the overload
+    // multiple of its capacity.
     let fleet_capacity = f64::max(2.0 + 4.0 * slow_start_share, 6.0 * 0.5 / 0.8);
     let max_parts = 0.5 * 3.0 * slow_start_share * parts / fleet_capacity + 2.0;
     for n in 2..6 {
@@ -58,8 +59,8 @@
     }
 }
 
-/// With the whole fleet warming up, its present capacity is all there is: the rule bounds each replica all
-/// the same.
+/// When the whole fleet is warming up, no other capacity is available; the rule still limits the load of each
+/// replica.
 #[test]
 fn a_fleet_that_warms_up_throughout_is_not_overloaded_by_a_full_load() {
     let settings = Settings {
@@ -78,7 +79,7 @@
         }],
     );
     run_queries(&mut broker, 200, |_| Some(60 * MS));
-    // Were these 600 parts all that six warm ones can do, a cold one could do so many.
+    // If these 600 parts were the capacity of six warm replicas, this would be the capacity of a cold one.
     let cold_capacity = slow_start_share * 600.0 / 6.0;
     for n in 0..6 {
         let got = broker.sent.iter().filter(|s| s.replica == ReplicaId(n)).count() as f64;
