--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of one broker's decisions, and its rounds.
+//! The state of one broker's policy, and its rounds.
 
 use super::*;
 use rand_pcg::Pcg64Mcg;
@@ -10,7 +10,7 @@
 const POLL_BACKOFF_INITIAL_SHARE: f64 = 0.05;
 const POLL_BACKOFF_MAX_SHARE: f64 = 0.5;
 
-/// One broker's decisions.
+/// The policy of one broker.
 pub struct Balancer {
     pub(super) settings: Settings,
     pub(super) rng: Pcg64Mcg,
@@ -29,9 +29,9 @@
     pub(super) mean_parts: Vec<f64>,
     pub(super) overrun_multiple: f64,
     pub(super) tracked_requests: usize,
-    /// When a query was last rejected that had its whole objective left.
+    /// When a query that had its whole objective left was last rejected.
     pub(super) last_overload_at: Option<Nanos>,
-    /// The lease of the endpoint list, while nothing confirms that list.
+    /// The lease of the endpoint list, while that list is not confirmed.
     pub(super) list_lease: Option<ListLease>,
     pub(super) poll_at: Option<Nanos>,
     pub(super) poll_backoff: f64,
@@ -39,7 +39,11 @@
 }
 
 impl Balancer {
-    /// A broker that knows no replica yet; unusable settings are an error. `seed` sets all random choices.
+    /// Creates the policy of a broker with an empty endpoint list. `seed` determines all random choices.
+    ///
+    /// # Errors
+    ///
+    /// The settings can't be used.
     pub fn new(settings: Settings, seed: u64, now: Nanos) -> Result<Self, SettingsError> {
         settings.check()?;
         let objective = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(1) as f64;
@@ -74,7 +78,7 @@
         })
     }
 
-    /// Takes in the events up to `now`, then decides. Actions are added to `actions` in order.
+    /// Processes the events up to `now`, then decides, and appends the actions to `actions` in order.
     pub fn round(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.fleet.decay(now.saturating_sub(self.now));
         self.now = self.now.max(now);
@@ -103,8 +107,8 @@
             Event::EndpointList { full, entries } => self.on_endpoint_list(*full, entries),
             Event::WatchFailed => {
                 let backoff = self.poll_backoff * (0.5 + uniform(&mut self.rng));
-                let longest = self.settings.max_poll_interval as f64 * POLL_BACKOFF_MAX_SHARE;
-                self.poll_backoff = (self.poll_backoff * 2.0).min(longest);
+                let max_backoff = self.settings.max_poll_interval as f64 * POLL_BACKOFF_MAX_SHARE;
+                self.poll_backoff = (self.poll_backoff * 2.0).min(max_backoff);
                 self.poll_at = Some(self.now + backoff as Nanos);
             }
             Event::ListUnconfirmed { since, lease_end, proof_lifetime } => {
@@ -142,7 +146,7 @@
     }
 
     fn on_endpoint_list(&mut self, full: bool, entries: &[ReplicaEntry]) {
-        // No poll is due: this answers one, so the watch works again.
+        // No poll is scheduled, so this list is the response to one: the watch works again.
         if self.poll_at.is_none() {
             self.poll_backoff = self.settings.max_poll_interval as f64 * POLL_BACKOFF_INITIAL_SHARE;
         }
@@ -150,16 +154,16 @@
             r.listed &= !full;
             r.removed |= full;
         }
-        let light_load_latency = START_LATENCY_OBJECTIVES * self.fleet.objective;
-        let unknown = || Replica { light_load_latency, latency_ratio: 1.0, ..Replica::default() };
+        let light_load_latency = INITIAL_LATENCY_OBJECTIVES * self.fleet.objective;
+        let new_replica = || Replica { light_load_latency, latency_ratio: 1.0, ..Replica::default() };
         for entry in entries {
-            let r = self.replicas.entry(entry.replica).or_insert_with(unknown);
+            let r = self.replicas.entry(entry.replica).or_insert_with(new_replica);
             r.cell = entry.cell;
             r.weight = entry.weight;
             r.listed = entry.state == ReplicaState::Active;
             r.removed = entry.state == ReplicaState::Removed;
-            let lately = |t: &Nanos| t.saturating_add(self.settings.slow_start_time) > self.now;
-            if entry.started.filter(lately) > r.warming_since {
+            let is_recent = |t: &Nanos| t.saturating_add(self.settings.slow_start_time) > self.now;
+            if entry.started.filter(is_recent) > r.warming_since {
                 r.start_warming(entry.started);
             }
         }
--- a/src/policy/latency_estimate.rs
+++ b/src/policy/latency_estimate.rs
@@ -1,8 +1,8 @@
-//! The latency of the whole fleet; each replica's latency is kept as a ratio to it.
+//! Estimate of the whole fleet's latency. Each replica's latency is stored as a ratio to it.
 
 use super::*;
 
-pub(super) const START_LATENCY_OBJECTIVES: f64 = 0.1;
+pub(super) const INITIAL_LATENCY_OBJECTIVES: f64 = 0.1;
 const FLEET_SAMPLE_CLIP_MULTIPLE: f64 = 2.0;
 const FLEET_DECAY_OBJECTIVES: f64 = 1.5;
 const LIGHT_LOAD_SAMPLES: f64 = 2.0;
@@ -10,7 +10,7 @@
 const RATIO_DECAY_ANSWER_GAPS: f64 = 3.0;
 const GAP_EWMA_WEIGHT: f64 = 0.02;
 
-/// Latency of the fleet of late; times in ns.
+/// Recent latency of the fleet; times in ns.
 #[derive(Default)]
 pub(super) struct FleetLatency {
     /// Shortest latency objective: the unit of most time spans here.
@@ -25,7 +25,8 @@
 
 impl FleetLatency {
     pub(super) fn new(objective: f64, now: Nanos) -> Self {
-        let (mean, ratio_decay) = (START_LATENCY_OBJECTIVES * objective, RATIO_DECAY_OBJECTIVES * objective);
+        let (mean, ratio_decay) =
+            (INITIAL_LATENCY_OBJECTIVES * objective, RATIO_DECAY_OBJECTIVES * objective);
         FleetLatency { objective, mean, ratio_decay, last_answer_at: now, ..Default::default() }
     }
 
@@ -45,11 +46,13 @@
         self.samples += 1.0;
     }
 
-    /// Without answers the mean drifts to light load, or a broker that rejects all would reject for ever.
-    pub(super) fn update(&mut self, light_load: impl Iterator<Item = f64>) {
-        let (sum, listed) = light_load.fold((0.0, 0.0), |(sum, n), latency| (sum + latency, n + 1.0));
-        let least_decay = RATIO_DECAY_OBJECTIVES * self.objective;
-        self.ratio_decay = least_decay.max(RATIO_DECAY_ANSWER_GAPS * self.answer_gap * listed);
+    /// Updates the mean. Without answers it converges to the light-load latency: otherwise a broker that
+    /// rejects every query would get no more answers and would never admit one again.
+    pub(super) fn update(&mut self, light_load_latencies: impl Iterator<Item = f64>) {
+        let (sum, listed) =
+            light_load_latencies.fold((0.0, 0.0), |(sum, n), latency| (sum + latency, n + 1.0));
+        let min_decay = RATIO_DECAY_OBJECTIVES * self.objective;
+        self.ratio_decay = min_decay.max(RATIO_DECAY_ANSWER_GAPS * self.answer_gap * listed);
         let light = if listed > 0.0 { sum / listed } else { self.mean };
         self.mean = (self.sum + LIGHT_LOAD_SAMPLES * light) / (self.samples + LIGHT_LOAD_SAMPLES);
     }
