--- a/src/membership/endpoint_list.rs
+++ b/src/membership/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's own form, as it is sent and as the configuration carries it.
+//! The endpoint list in discovery's format, as discovery sends it and as the configuration contains it.
 
 use super::{NodeRecord, NodeState};
 use crate::api::Nanos;
@@ -9,7 +9,7 @@
 pub struct EndpointList {
     /// Version of the list, counted by discovery.
     pub version: u64,
-    /// Whether this is the full list; if not, it has only the endpoints that changed.
+    /// Whether this is the full list; if not, it contains only the endpoints that changed.
     pub full: bool,
     /// Unix time at which the list was last known to be current, ms, if the sender states it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -28,7 +28,7 @@
     pub addr: String,
     /// Name of the zone.
     pub zone: Option<String>,
-    /// Kind of the node: what it speaks.
+    /// Kind of the node: the protocol it speaks.
     #[serde(default)]
     pub kind: String,
     /// Cell, which determines the partitions that the node holds.
@@ -36,19 +36,19 @@
     pub cell: u32,
     /// State of the node's process.
     pub state: NodeState,
-    /// Unix time of the process start, ms; 0: long ago.
+    /// Unix time of the process start, ms; 0 means long ago.
     #[serde(default)]
     pub started_ms: u64,
 }
 
 impl Endpoint {
-    /// Unix time of the process start, ns; 0: long ago.
+    /// Unix time of the process start, ns; 0 means long ago.
     #[must_use]
     pub fn started(&self) -> Nanos {
         self.started_ms.saturating_mul(1_000_000)
     }
 
-    /// The endpoint as a record of the node. An address that can't be parsed counts as none.
+    /// Converts the endpoint to a node record. An address that can't be parsed becomes none.
     #[must_use]
     pub fn record(&self) -> NodeRecord {
         NodeRecord {
--- a/src/membership/gossip_hints.rs
+++ b/src/membership/gossip_hints.rs
@@ -1,8 +1,9 @@
-//! Hints of other brokers about nodes, received by gossip. They make this broker more careful, never less.
+//! Hints of other brokers about nodes, received by gossip. They only restrict the use of a node: compared
+//! with the own list, a hint can mark a node as draining or its process start as later, but can't add a node.
 //!
 //! A node that another broker knows to be terminating is reported as draining until this broker's own list is
-//! as new, or the node has restarted; a process start that another broker knows counts if it is later than
-//! the local one. Hints never add a node.
+//! at least as new (by process start, then by list version) or the node has restarted. A process start that
+//! another broker reports is used if it is later than the local one.
 
 use super::NodeChange;
 use crate::api::{Nanos, ReplicaState};
@@ -10,19 +11,20 @@
 use crate::replication::derived_state::NodeHints;
 use std::collections::BTreeMap;
 
-/// What this broker's own sources say of a node.
+/// What this broker's own sources report about a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LocalHints {
-    /// The node's process start in the own list, unix ns; 0: long ago.
+    /// The node's process start in the own list, unix ns; 0 means long ago.
     pub started: Nanos,
     /// Version of the own list.
     pub version: u64,
 }
 
-/// Most nodes of which hints are stored: ids are never reused, and nodes that are gone must not accumulate.
+/// Maximum number of nodes with stored hints: ids are never reused, so hints about nodes that are gone would
+/// otherwise accumulate.
 const MAX_HINTED_NODES: usize = 16_384;
 
-/// A node as the own sources reported it last.
+/// A node as this broker's own sources last reported it.
 #[derive(Clone, Debug)]
 struct LocalNode {
     change: NodeChange,
@@ -33,7 +35,7 @@
 #[derive(Debug, Default)]
 pub struct PeerHints {
     hints: BTreeMap<String, NodeHints>,
-    /// The nodes that the own list names.
+    /// The nodes in the own list.
     local: BTreeMap<String, LocalNode>,
 }
 
@@ -42,7 +44,7 @@
     fn is_drained(hints: &NodeHints, local: LocalHints) -> bool {
         let is_newer = |drain: &ProcessStart| {
             let newer = (drain.started, drain.list_version) > (local.started, local.version);
-            // A process that started after the drain is another one.
+            // A process that started after the drain is a new one, to which the drain does not apply.
             newer && drain.started >= hints.started
         };
         hints.drain.as_ref().is_some_and(is_newer)
@@ -67,8 +69,8 @@
         self.local.get(id).map(|node| self.with_hints(&node.change, node.hints))
     }
 
-    /// Applies the hints to changes from the own sources; `local_hints` returns what these sources say of a
-    /// node.
+    /// Applies the hints to changes from the own sources; `local_hints` returns what these sources report
+    /// about a node.
     pub fn apply_changes(
         &mut self,
         changes: Vec<NodeChange>,
@@ -90,7 +92,7 @@
             self.local.insert(change.id.clone(), LocalNode { change, hints });
             return;
         }
-        // A node that moved is removed under its old replica number after it was added under the new one.
+        // For a node that moved, the removal of its old replica number follows the addition of the new one.
         let stored = self.local.get(&change.id);
         let moved = stored.is_some_and(|node| node.change.entry.replica != change.entry.replica);
         if !moved {
@@ -98,12 +100,13 @@
         }
     }
 
-    /// Stores hints of a peer. Returns the change that follows, if the own list names the node.
+    /// Stores a peer's hints. Returns the resulting change, if the node is in the own list and its entry
+    /// differs.
     pub fn on_hint(&mut self, id: &str, hints: NodeHints) -> Option<NodeChange> {
         let before = self.current(id);
         self.hints.insert(id.to_owned(), hints);
         if self.hints.len() > MAX_HINTED_NODES {
-            // Nodes that the own list does not name are removed first, the earliest start of them.
+            // Of the nodes that are not in the own list, the one with the earliest start is removed.
             let unlisted = self.hints.iter().filter(|(id, _)| !self.local.contains_key(*id));
             let earliest = unlisted.min_by_key(|(_, hints)| hints.started).map(|(id, _)| id.clone());
             earliest.and_then(|id| self.hints.remove(&id));
@@ -111,8 +114,9 @@
         self.current(id).filter(|change| before.as_ref() != Some(change))
     }
 
-    /// Applies the hints anew when the own list has another version. `version_reset`: discovery's versions
-    /// were reset, and drains that peers knew before are dropped. Returns the changes that follow.
+    /// Reapplies the hints when the version of the own list has changed. With `version_reset`, discovery's
+    /// versions were reset, and the drains that peers reported before are dropped. Returns the resulting
+    /// changes.
     pub fn on_list_change(
         &mut self,
         version_reset: bool,
@@ -140,13 +144,13 @@
         changes
     }
 
-    /// Number of nodes of which hints are stored.
+    /// Number of nodes with stored hints.
     #[must_use]
     pub fn hinted_count(&self) -> usize {
         self.hints.len()
     }
 
-    /// Number of nodes that are draining by a peer's hint.
+    /// Number of nodes that are draining because of a peer's hint.
     #[must_use]
     pub fn drained_count(&self) -> usize {
         let is_drained = |(id, node): &(&String, &LocalNode)| {
--- a/src/membership/manual_override.rs
+++ b/src/membership/manual_override.rs
@@ -1,19 +1,19 @@
-//! Nodes that an operator has suspended by command. A suspension outranks every other source until it is
+//! Nodes that an operator has suspended by command. A suspension overrides every other source until it is
 //! lifted.
 //!
-//! What the other sources report of a node is stored as it is, and passed on as draining while the node is
-//! suspended: a node that moves, is removed and listed again, or restarts meanwhile stays suspended.
+//! Reports of the other sources about a suspended node are stored unchanged, and an active node is passed on
+//! as draining. So a node that moves, is removed and listed again, or restarts stays suspended.
 
 use super::NodeChange;
 use crate::api::{ReplicaId, ReplicaState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The id of a command was never listed.
+/// The node id in a command has never been in any list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("no list has named this node")]
 pub struct UnknownNode;
 
-/// Most removed nodes whose ids are still known.
+/// Maximum number of removed nodes that are remembered.
 const MAX_REMOVED_NODES: usize = 4096;
 
 /// The suspended nodes, and the last change of each node from the other sources.
@@ -25,7 +25,7 @@
 }
 
 impl ManualOverrides {
-    /// Overrides that suspend these nodes only, as handed over by an earlier process.
+    /// Overrides that suspend exactly these nodes, as handed over by the previous process.
     #[must_use]
     pub fn with_suspended(ids: impl IntoIterator<Item = String>) -> ManualOverrides {
         ManualOverrides { suspended: ids.into_iter().collect(), ..ManualOverrides::default() }
@@ -40,13 +40,13 @@
         self.suspended.iter().filter(is_listed).count()
     }
 
-    /// The replica number of a node, or the last one of a removed node.
+    /// The replica number of a node; for a removed node, its last one.
     #[must_use]
     pub fn replica(&self, id: &str) -> Option<ReplicaId> {
         self.latest.get(id).map(|change| change.entry.replica)
     }
 
-    /// Whether any list has named this node, or it is suspended.
+    /// Whether this node has been in any list, or is suspended.
     #[must_use]
     pub fn knows(&self, id: &str) -> bool {
         self.latest.contains_key(id) || self.suspended.contains(id)
@@ -60,7 +60,7 @@
     fn apply_change(&mut self, change: NodeChange) -> NodeChange {
         let removed = change.entry.state == ReplicaState::Removed;
         if removed {
-            // Bounds memory over a long run: the lowest id is taken for the oldest.
+            // Bounds memory in a long-running process: the lowest id is assumed to be the oldest.
             if self.removed.len() >= MAX_REMOVED_NODES
                 && let Some(oldest) = self.removed.pop_first()
             {
@@ -71,7 +71,7 @@
             self.removed.remove(&change.id);
         }
         let overridden = self.overridden(change.clone());
-        // A node that moved is removed under its old replica number after it was added under the new one.
+        // For a node that moved, the removal of its old replica number follows the addition of the new one.
         let stored = self.latest.get(&change.id);
         let moved = removed && stored.is_some_and(|stored| stored.entry.replica != change.entry.replica);
         if !moved {
@@ -87,12 +87,12 @@
         change
     }
 
-    /// Suspends a node; idempotent. Returns the change that follows, if any. `ever_listed`: another source
-    /// knows the id.
+    /// Suspends a node; idempotent. Returns the resulting change, if any. `ever_listed`: whether another
+    /// source knows the id.
     ///
     /// # Errors
     ///
-    /// [`UnknownNode`] if no list has ever named the id.
+    /// [`UnknownNode`] if the id has never been in any list.
     pub fn suspend(&mut self, id: &str, ever_listed: bool) -> Result<Option<NodeChange>, UnknownNode> {
         self.check_known(id, ever_listed)?;
         let newly_suspended = self.suspended.insert(id.to_owned());
@@ -100,12 +100,12 @@
         Ok(latest.map(|change| self.overridden(change.clone())))
     }
 
-    /// Lifts the suspension of a node, however often it was suspended. Returns the change that follows, if
-    /// any.
+    /// Lifts the suspension of a node, however often it was suspended. Returns the resulting change, if any.
+    /// `ever_listed`: whether another source knows the id.
     ///
     /// # Errors
     ///
-    /// [`UnknownNode`] if no list has ever named the id.
+    /// [`UnknownNode`] if the id has never been in any list.
     pub fn restore(&mut self, id: &str, ever_listed: bool) -> Result<Option<NodeChange>, UnknownNode> {
         self.check_known(id, ever_listed)?;
         let was_suspended = self.suspended.remove(id);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,7 @@
-//! Membership: one merged view of all nodes from every source, and how far it is trusted.
+//! Membership: one merged view of all nodes from every source, and the trust in its records.
 //!
-//! Free of I/O and clock: reports and attempt outcomes come in with the time, entries for the engine go out.
+//! The module does no I/O and reads no clock: callers pass in reports and attempt outcomes with the current
+//! time, and receive replica entries for the engine.
 //! The design and its alternatives are described in `docs/membership-design.md`.
 //!
 //! - [`merged_view`] merges records so that their order does not matter and a drain is never undone by older
@@ -9,10 +10,10 @@
 //! - [`probation`] chooses which unconfirmed nodes are admitted;
 //! - [`poll_backoff`] spaces out polls for the endpoint list;
 //! - [`retry_pacing`] decides how long to wait after a call to discovery that failed;
-//! - [`watch_schedule`] decides when discovery is called, and when a call is given up;
-//! - [`snapshot`] is the stored form of the view, and [`status_report`] a report of it;
-//! - [`manual_override`] and [`gossip_hints`] restrict the announced nodes by operators' commands and by
-//!   hints of other brokers;
+//! - [`watch_schedule`] decides when discovery is called, and when a call times out;
+//! - [`snapshot`] is the stored form of the view, and [`status_report`] prints it;
+//! - [`manual_override`] and [`gossip_hints`] restrict the announced nodes according to operators' commands
+//!   and hints of other brokers;
 //! - [`Registry`] combines them.
 
 #![deny(
@@ -44,8 +45,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// State of a node's process as a source reports it. The order is that of severity: of two records with one
-/// version the severer one takes precedence.
+/// State of a node's process as a source reports it. Ordered by severity: of two records with the same
+/// version, the more severe one takes precedence.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NodeState {
     /// It accepts work.
@@ -60,23 +61,23 @@
 /// One node as a source reports it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 pub struct NodeRecord {
-    /// Id: the same for every broker, never used for two nodes at once.
+    /// Id, the same for every broker; two nodes never share one at the same time.
     pub id: String,
-    /// Address; none if the source names no usable one.
+    /// Address; none if the source gives no usable one.
     pub addr: Option<SocketAddr>,
     /// Name of its zone, empty if not stated.
     pub zone: String,
-    /// Kind of the node, the protocol it speaks, as the source names it; empty if all nodes speak the same.
+    /// Kind of the node: the protocol it speaks, as the source names it; empty if all nodes speak the same.
     pub kind: String,
     /// Cell, which determines the partitions it holds.
     pub cell: u32,
     /// State of its process.
     pub state: NodeState,
-    /// Unix time of its process start, ns; 0: long ago.
+    /// Unix time of its process start, ns; 0 means long ago.
     pub started: Nanos,
 }
 
-/// The kinds of source. A later one overrides an earlier one.
+/// The kinds of source, in ascending priority: a later variant overrides an earlier one.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SourcePriority {
     /// The operator's file of nodes.
@@ -91,7 +92,7 @@
     /// The source.
     #[serde(rename = "rank")]
     pub priority: SourcePriority,
-    /// Number of resets of the source's versions that this broker has seen.
+    /// Number of times that this broker has seen the source's versions reset.
     pub epoch: u32,
     /// The source's version.
     pub version: u64,
--- a/src/membership/snapshot.rs
+++ b/src/membership/snapshot.rs
@@ -1,4 +1,4 @@
-//! The stored form of the merged view, which outlives the process.
+//! The stored form of the merged view, which a restarted process reads back.
 
 use super::merged_view::{MergedView, VersionedRecord};
 use super::staleness::ChangeRate;
@@ -28,10 +28,10 @@
     pub epoch: u32,
     /// Version of the list that reported it.
     pub version: u64,
-    /// When it was first received, unix ns. For a drain: when that was learned.
+    /// When it was first received, unix ns; for a drain, when the drain was learned.
     #[serde(rename = "heard")]
     pub received: Nanos,
-    /// Whether it came with the first list after a reset of discovery's versions.
+    /// Whether it was in the first list after a reset of discovery's versions.
     #[serde(default, rename = "anew")]
     pub after_reset: bool,
     /// When the node was last confirmed, unix ns; none: never.
@@ -39,7 +39,7 @@
 }
 
 impl SnapshotNode {
-    /// The record with its place in discovery's order.
+    /// The record with its version in discovery's order.
     #[must_use]
     pub fn versioned(&self) -> VersionedRecord {
         VersionedRecord {
@@ -51,7 +51,7 @@
     }
 }
 
-/// A merged view of discovery's records, as it is stored.
+/// The merged view of discovery's records, as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Snapshot {
     /// When it was written, unix ns.
@@ -67,7 +67,7 @@
     pub pruned_up_to: Option<(u32, u64)>,
     /// The observed rate at which nodes change.
     pub rate: ChangeRate,
-    /// The records of all nodes, those that are terminating or gone among them.
+    /// The records of all nodes, including those that are terminating or gone.
     pub nodes: Vec<SnapshotNode>,
 }
 
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 ///
-/// If it would be larger than [`MAX_FILE_BYTES`]: nothing is cut off silently.
+/// If it would be larger than [`MAX_FILE_BYTES`]; it is never truncated silently.
 pub fn encode(snapshot: &Snapshot) -> Result<Vec<u8>, SnapshotError> {
     FORMAT.encode(snapshot)
 }
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// If the bytes are empty, too many, cut short, corrupt or of an unknown format version.
+/// If the bytes are empty, too many, truncated, corrupt or of an unknown format version.
 pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
     FORMAT.decode(bytes)
 }
--- a/src/membership/status_report.rs
+++ b/src/membership/status_report.rs
@@ -7,18 +7,18 @@
 use serde::Serialize;
 use std::fmt;
 
-/// A stored list of nodes, judged at one point in time.
+/// The merged contents of a stored list of nodes, with ages and trust at one point in time.
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusReport {
-    /// Number of times that discovery's versions were seen to be reset.
+    /// Number of times that discovery's versions were reset.
     pub epoch: u32,
     /// Version of discovery's list.
     pub version: u64,
     /// Seconds since the list as a whole was last known to be current; none: never.
     pub age_s: Option<f64>,
-    /// Mean time between two changes of one node, estimated and learned, hours.
+    /// Mean time between two changes of one node, from the configured estimate and observed changes, hours.
     pub changes_every_h: f64,
-    /// The nodes by id.
+    /// The nodes, ordered by id.
     pub nodes: Vec<StatusEntry>,
 }
 
@@ -31,7 +31,7 @@
     pub addr: Option<std::net::SocketAddr>,
     /// Its cell.
     pub cell: u32,
-    /// Its state; gone, too, if a full list omitted it.
+    /// Its state; also gone if a full list omitted it.
     pub state: NodeState,
     /// Seconds since it was last confirmed; none: never.
     pub age_s: Option<f64>,
