--- a/src/membership/merged_view/mod.rs
+++ b/src/membership/merged_view/mod.rs
@@ -1,11 +1,13 @@
 //! The merged view of all nodes, which does not depend on the order in which records arrive.
 //!
-//! For each node and source a few registers are stored: the record with the highest version, the last one
-//! that is terminating or gone, the last one that is ready, and the one with the latest process start. Beside
-//! them, each source has the version of its latest full list, which replaces all records before it. All of
-//! them only grow, by a total order, so any order of the same records ends in the same view. A drain gives
-//! way only to a higher version or to a process start after it was learned; to the first list after a reset
-//! of the source's versions it gives way only by such a start.
+//! Up to four records are stored for each node and source: the one with the highest version, the last one
+//! that is terminating or gone, the last one that is ready, and the one with the latest process start. In
+//! addition, the version of the latest full list is stored for each source; it replaces all earlier records.
+//! All of these only increase, in a total order, so the same records produce the same view in any order of
+//! arrival.
+//!
+//! A drain is undone only by a higher version or by a process start after the drain was learned. The first
+//! list after a reset of the source's versions undoes a drain only through such a start.
 
 mod records;
 mod source_view;
@@ -18,8 +20,9 @@
 use source_view::SourceView;
 use std::cmp::Reverse;
 
-/// Most nodes that are gone and still stored. Above that the oldest are removed, and records of unknown nodes
-/// that are as old as those are ignored: ids are never reused, and nodes that are gone must not accumulate.
+/// Maximum number of stored nodes that are gone. Above that the oldest are removed, and records of unknown
+/// nodes that are as old as those are ignored: ids are never reused, and nodes that are gone must not
+/// accumulate.
 pub const MAX_GONE_NODES: usize = 512;
 
 /// The merged state of one node.
@@ -33,12 +36,12 @@
     pub learned: Nanos,
 }
 
-/// The circumstances of one report of a source.
+/// The attributes that all records of one report of a source share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
     /// Version of all its records.
     pub source_version: SourceVersion,
-    /// Whether it has all nodes of its source.
+    /// Whether it contains all nodes of its source.
     pub full: bool,
     /// Whether it is the first after a reset of the source's versions.
     pub after_reset: bool,
@@ -79,7 +82,7 @@
         self.source_mut(record.source_version.priority).insert(record);
     }
 
-    /// Merges the fact that a full list with this version was received then.
+    /// Records that a full list with this version was received at this time, unix ns.
     pub fn insert_full_list(&mut self, version: SourceVersion, received: Nanos) {
         self.source_mut(version.priority).insert_full_list(version, received);
     }
@@ -100,8 +103,8 @@
         source.full_list.map(|(version, Reverse(received))| (version, received))
     }
 
-    /// The merged state of a node. A node of the operator is ready until the directory reports it as
-    /// terminating or gone.
+    /// The merged state of a node. A node that the operator lists as ready stays ready until the directory
+    /// reports it as terminating or gone.
     #[must_use]
     pub fn view(&self, id: &str) -> Option<NodeView<'_>> {
         let operator = self.operator.node(id);
@@ -119,15 +122,15 @@
         }
     }
 
-    /// Whether the directory's full list omits a node whose last record was ready: it may never have belonged
-    /// there.
+    /// Whether the directory's full list omits a node whose last record was ready: the directory may never
+    /// have been meant to list it.
     fn merely_omitted_by_directory(&self, id: &str) -> bool {
         self.directory.nodes.get(id).is_some_and(|records| {
             self.directory.omitted_by(records).is_some() && records.latest.record.state == NodeState::Ready
         })
     }
 
-    /// Ids of all nodes of which anything is known.
+    /// Ids of all nodes with at least one record.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         let operator_only = self.operator.nodes.keys().filter(|id| !self.directory.nodes.contains_key(*id));
         self.directory.nodes.keys().chain(operator_only).map(String::as_str)
@@ -144,7 +147,7 @@
         self.directory.pruned_up_to
     }
 
-    /// Raises what [`MergedView::pruned_up_to`] returns, as stored in a snapshot.
+    /// Raises the version that [`MergedView::pruned_up_to`] returns to the one stored in a snapshot.
     pub fn set_pruned_up_to(&mut self, version: SourceVersion) {
         self.directory.pruned_up_to = self.directory.pruned_up_to.max(Some(version));
     }
--- a/src/membership/merged_view/records.rs
+++ b/src/membership/merged_view/records.rs
@@ -9,12 +9,12 @@
 pub struct VersionedRecord {
     /// The record.
     pub record: NodeRecord,
-    /// Its place in its source's order.
+    /// Its version in its source's order.
     pub source_version: SourceVersion,
     /// When this broker first received it, unix ns.
     pub received: Nanos,
-    /// Whether it came with the first list after a reset of its source's versions, and may be older than what
-    /// was learned before.
+    /// Whether it was in the first list after a reset of its source's versions, and so may be older than
+    /// records received before.
     pub after_reset: bool,
 }
 
@@ -23,7 +23,8 @@
 
 impl VersionedRecord {
     pub(super) fn precedence(&self) -> Precedence<'_> {
-        // Of equal records the one received earlier counts: a drain is learned once.
+        // Of equal records the one received first takes precedence: a drain keeps the time when it was first
+        // learned.
         (self.source_version, self.record.state, &self.record, Reverse(self.received), self.after_reset)
     }
 
@@ -32,7 +33,7 @@
     }
 
     /// Whether it can prove a restart: it is ready, and its process start was in the past when it was
-    /// received. A start in the future would outlast every drain.
+    /// received. A start in the future would override every drain.
     pub(super) fn proves_restart(&self) -> bool {
         self.record.state == NodeState::Ready
             && self.record.started > 0
@@ -46,7 +47,7 @@
     pub(super) latest: VersionedRecord,
     /// The last record that is terminating or gone.
     drain: Option<VersionedRecord>,
-    /// The last record that is ready, except from the first list after a reset.
+    /// The last record that is ready, not counting those from the first list after a reset.
     ready: Option<VersionedRecord>,
     /// The record with the latest process start.
     pub(super) latest_start: Option<VersionedRecord>,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The record that determines the node's state, unless a restart was proved.
+    /// The record that determines the node's state, unless a restart is proved.
     pub(super) fn authoritative(&self) -> &VersionedRecord {
         match &self.drain {
             // The first list after a reset may be older than the drain.
--- a/src/membership/merged_view/source_view.rs
+++ b/src/membership/merged_view/source_view.rs
@@ -1,4 +1,4 @@
-//! All that one source has reported.
+//! All records that one source has reported.
 
 use super::records::{NodeRecords, VersionedRecord};
 use super::{MAX_GONE_NODES, NodeView};
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Number of new nodes after which nodes that are gone are counted again, so that not each report scans all
+/// Number of new nodes after which nodes that are gone are counted again, so that not every report scans all
 /// nodes.
 const PRUNE_INTERVAL_NODES: usize = 64;
 
-/// All that one source has reported.
+/// All records that one source has reported.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SourceView {
     pub(super) nodes: BTreeMap<String, NodeRecords>,
@@ -56,14 +56,14 @@
             Some((version, Reverse(received))) if authoritative.record.state == NodeState::Ready => {
                 (NodeState::Gone, version, received)
             }
-            // It was known to be terminating or gone before.
+            // The node was already known to be terminating or gone.
             Some((version, Reverse(received))) => {
                 (NodeState::Gone, version, received.max(authoritative.received))
             }
             None => (authoritative.record.state, authoritative.source_version, authoritative.received),
         };
-        // Stored times may come from the clock of another process. So a start alone is no proof: an older
-        // report of it must not undo what was learned after that report.
+        // Stored times may come from the clock of another process, so a later start alone is no proof:
+        // an older report of that start must not undo what was learned after the report.
         let is_undone_by = |restart: &VersionedRecord| {
             state != NodeState::Ready && restart.record.started > learned && restart.source_version > version
         };
@@ -94,7 +94,7 @@
             return;
         }
         gone.sort_unstable();
-        // Half of them at a time, so that not each new one scans all nodes.
+        // Removes down to half the maximum, so that not every further node that is gone causes a scan.
         let excess = gone.len() - MAX_GONE_NODES / 2;
         for (version, id) in gone.drain(..excess) {
             self.nodes.remove(&id);
