--- a/src/membership/registry/admission.rs
+++ b/src/membership/registry/admission.rs
@@ -1,4 +1,4 @@
-//! Admits ready nodes: those that are confirmed at once, the others step by step.
+//! Admits ready nodes: confirmed ones at once, the others step by step.
 
 use super::Registry;
 use super::tracked_node::AdmissionState;
@@ -7,10 +7,11 @@
 use crate::membership::{NodeRecord, staleness};
 
 /// Time after which one more unconfirmed holder of each partition is admitted, ns. Short compared with the
-/// latency objectives of queries: no node that is there waits long, and a wrong one has failed by then.
+/// latency objectives of queries, so an available node does not wait long, and long enough for an unavailable
+/// one to have failed.
 const PROBATION_STEP: Nanos = 250_000_000;
 
-/// A ready node with its place in the order of admission.
+/// A ready node with its position in the order of admission.
 pub(super) struct ReadyNode {
     order: u32,
     pub(super) record: NodeRecord,
@@ -25,7 +26,7 @@
 }
 
 impl Registry {
-    /// Admits as many of the ready nodes as their trust allows, and announces them.
+    /// Admits as many of the ready nodes as their trust permits, and announces them.
     pub(super) fn admit_ready(&mut self, mut ready: Vec<ReadyNode>, now: Nanos) {
         ready.sort_unstable_by(|a, b| (a.order, &a.record.id).cmp(&(b.order, &b.record.id)));
         let (ready, candidates): (Vec<ReadyNode>, Vec<Candidate>) = ready
@@ -51,7 +52,7 @@
         let trust = self.trust(self.last_confirmation(node, &record.id), now);
         let admission = match node.admission {
             _ if trust >= staleness::CONFIRMED_TRUST => Admission::Confirmed,
-            // It answered, or was admitted before: it stays admitted until it fails.
+            // It has answered, or was admitted before: it remains admitted until it fails.
             AdmissionState::Admitted => Admission::Admitted,
             AdmissionState::Ejected { until } if until > now => Admission::Failed,
             AdmissionState::Waiting | AdmissionState::Ejected { .. } => Admission::Waiting,
@@ -78,11 +79,11 @@
             match candidate.admission {
                 Admission::Waiting => node.admit_unconfirmed(candidate.trust, self.settings.warm_up, now),
                 Admission::Confirmed | Admission::Admitted => node.admission = AdmissionState::Admitted,
-                // It gets work only because a partition has no other holder: it stays ejected.
+                // It gets work only because a partition has no other holder, and remains ejected.
                 Admission::Failed => {}
             }
         }
-        // A node that never got work need not be announced as one that gets none.
+        // A node that was never announced need not be announced as draining.
         if admitted || node.announced.is_some() {
             let state = if admitted { ReplicaState::Active } else { ReplicaState::Draining };
             self.announce(&record.id, record, state, now);
--- a/src/membership/registry/attempts.rs
+++ b/src/membership/registry/attempts.rs
@@ -1,24 +1,25 @@
-//! Judges nodes by the outcomes of attempts: confirmed by good answers, ejected after failures, warmed up or
-//! not.
+//! Updates nodes by the outcomes of attempts: good answers confirm a node and can end its assumed warm-up,
+//! failures can eject it.
 
 use super::Registry;
 use crate::api::{Nanos, Outcome, ReplicaId};
 
-/// What an attempt's outcome says of the node.
+/// What an attempt's outcome indicates about the node.
 enum Evidence {
-    /// The node is there and works.
+    /// The node is available and works.
     Success,
     /// No connection could be established.
     Unreachable,
-    /// The node may not be there any more.
+    /// The node may no longer exist.
     Failure,
-    /// Nothing: it is there, but rejects work or has faults, or nobody waited for it.
+    /// Nothing: the node exists, but rejects work or has faults, or the attempt was cancelled or
+    /// not sent.
     Inconclusive,
 }
 
 impl Registry {
-    /// Records the outcome of an attempt that ended `latency` ns after it was sent. Its consequences come
-    /// with the next [`Registry::tick`], so that many at once cost no more than one.
+    /// Records the outcome of an attempt that ended `latency` ns after it was sent. Admissions and ejections
+    /// that follow are applied at the next [`Registry::tick`], so that many outcomes cost one reconciliation.
     pub fn on_attempt_end(&mut self, replica: ReplicaId, outcome: Outcome, latency: Nanos, now: Nanos) {
         let Some((id, node)) = self.nodes.by_replica_mut(replica) else { return };
         let silent = latency >= self.settings.silence_timeout;
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Ends the assumed warm-up of a node whose answer came about as fast as most, and faster than one could
-    /// come where all nodes are cold.
+    /// Ends the assumed warm-up of a node whose answer was about as fast as most others. It must also come
+    /// within the silence timeout, since all nodes in the window may be cold.
     fn judge_warm_up(&mut self, replica: ReplicaId, latency: Nanos) {
         let is_warm = self.recent_latencies.observe(latency);
         if is_warm && latency <= self.settings.silence_timeout {
@@ -74,19 +75,19 @@
     }
 }
 
-/// `silent`: nothing was received for longer than the silence timeout.
+/// `silent`: the attempt lasted at least the silence timeout.
 fn judge(outcome: Outcome, silent: bool, has_answered: bool) -> Evidence {
     match outcome {
         Outcome::Ok => Evidence::Success,
         Outcome::ConnectFailed => Evidence::Unreachable,
         Outcome::TimedOut => Evidence::Failure,
-        // Cancelled for another's answer, but nothing was received for too long.
+        // Cancelled because another attempt answered, but no answer came within the silence timeout.
         Outcome::Cancelled if silent => Evidence::Failure,
-        // It may be another program by now; one that has answered before only has a fault.
+        // Another program may be using the address by now; a node that has answered before only has a fault.
         Outcome::Error | Outcome::InvalidResponse | Outcome::ConnectionReset if !has_answered => {
             Evidence::Failure
         }
-        // A node that rejects work is there: it may just be full.
+        // A node that rejects work is available: it may only be overloaded.
         Outcome::Cancelled
         | Outcome::ConnectionReset
         | Outcome::Error
--- a/src/membership/registry/directory_state.rs
+++ b/src/membership/registry/directory_state.rs
@@ -1,5 +1,5 @@
-//! What is known of discovery as a source: its list's version, when it was last confirmed, and how fast it
-//! changes.
+//! The state of discovery as a source: the version of its list, when the list was last confirmed, and how
+//! fast it changes.
 
 use crate::api::Nanos;
 use crate::membership::staleness::ChangeRate;
@@ -8,13 +8,13 @@
 /// The state of the directory as a source.
 #[derive(Debug)]
 pub(super) struct DirectoryState {
-    /// Number of resets of its versions.
+    /// Number of times that its versions were reset.
     pub(super) epoch: u32,
     /// Version of its list.
     pub(super) version: u64,
     /// When its list as a whole was last known to be current.
     pub(super) last_confirmed: Option<Nanos>,
-    /// Since when the rate of change has been observed without a break.
+    /// Start of the current interval over which the rate of change is observed; none without a watch.
     pub(super) watched_since: Option<Nanos>,
     /// The observed rate at which its nodes change.
     pub(super) change_rate: ChangeRate,
--- a/src/membership/registry/latency_window.rs
+++ b/src/membership/registry/latency_window.rs
@@ -1,22 +1,22 @@
-//! Recent latencies of good answers, by which a node is judged to be warmed up.
+//! Recent latencies of good answers, used to detect that a node has warmed up.
 
 use crate::api::Nanos;
 use std::collections::VecDeque;
 
 /// Number of latencies in the window.
 const WINDOW_LEN: usize = 32;
-/// Multiple of the lower quartile up to which a latency is that of a warm node. Parts differ in work by less
-/// than that; a node that has just started is slower by more.
+/// Multiple of the lower quartile up to which a latency counts as that of a warm node. The work of parts
+/// differs by less than that; a node that has just started is slower by more.
 const WARM_LATENCY_MULTIPLE: f64 = 2.5;
 
-/// The latencies of the last good answers of all nodes.
+/// The latencies of the last good answers that were observed.
 #[derive(Debug, Default)]
 pub(super) struct LatencyWindow {
     latencies: VecDeque<Nanos>,
 }
 
 impl LatencyWindow {
-    /// Adds a latency. Returns whether it is that of a warm node, compared with the others in the window.
+    /// Adds a latency. Returns whether it is typical of a warm node, compared with the others in the window.
     pub(super) fn observe(&mut self, latency: Nanos) -> bool {
         if self.latencies.len() >= WINDOW_LEN {
             self.latencies.pop_front();
--- a/src/membership/registry/mod.rs
+++ b/src/membership/registry/mod.rs
@@ -1,12 +1,13 @@
-//! The registry: reports of all sources and outcomes of all attempts in, changes of nodes for the engine out.
+//! The registry: takes the reports of all sources and the outcomes of all attempts, and produces node changes
+//! for the engine.
 //!
 //! - [`sources`] merges the reports of snapshots, configuration, operator and discovery;
-//! - [`attempts`] judges nodes by the outcomes of attempts;
+//! - [`attempts`] updates nodes by the outcomes of attempts;
 //! - [`reconciliation`] compares the merged view with what was announced, and [`admission`] decides which of
 //!   the ready nodes get work;
-//! - [`node_table`] has the tracked nodes and the changes to announce;
-//! - [`directory_state`], [`latency_window`], [`placement`], [`snapshot_schedule`] and [`start_stamps`] each hold one piece of
-//!   state.
+//! - [`node_table`] contains the tracked nodes and the changes to announce;
+//! - [`directory_state`], [`latency_window`], [`placement`], [`snapshot_schedule`] and [`start_stamps`] each
+//!   hold one piece of state.
 
 mod admission;
 mod attempts;
@@ -39,7 +40,7 @@
 use std::net::SocketAddr;
 use tracked_node::TrackedNode;
 
-/// The merged view of all nodes, and what was announced of it to the engine.
+/// The merged view of all nodes, and the node entries that were announced to the engine.
 #[derive(Debug)]
 pub struct Registry {
     settings: RegistrySettings,
@@ -51,21 +52,21 @@
     operator_version: u64,
     /// When the first unconfirmed node was seen.
     probation_start: Option<Nanos>,
-    /// Nodes that proved to be warmed up, to be reported.
+    /// Nodes found to be warmed up, which [`Registry::take_warmed_up`] has not reported yet.
     warmed_up: Vec<ReplicaId>,
-    /// Latencies of the last good answers of all nodes, while some have an assumed start.
+    /// Latencies of the last good answers of nodes with an assumed start.
     recent_latencies: LatencyWindow,
-    /// An update of discovery was received that [`Registry::take_changes`] has not reported.
+    /// An update from discovery was received that [`Registry::take_changes`] has not reported yet.
     unreported_update: bool,
-    /// An update of discovery was received that [`Registry::take_discovery_answered`] has not reported.
+    /// An update from discovery was received that [`Registry::take_discovery_answered`] has not reported yet.
     discovery_answered: bool,
     /// Something changed since the last reconciliation.
     dirty: bool,
-    /// No node is unconfirmed and no address is claimed twice: each node can be reconciled on its own.
+    /// All nodes are confirmed and no two claim the same address, so each node can be reconciled on its own.
     all_confirmed: bool,
     /// Ids of the ready nodes by address.
     ready_by_addr: HashMap<SocketAddr, String>,
-    /// Nodes of kinds that can't be called, so that each is logged once.
+    /// Nodes of kinds that can't be called; each is logged only once.
     uncallable: BTreeSet<String>,
     next_deadline: Option<Nanos>,
     snapshot_schedule: SnapshotSchedule,
@@ -109,20 +110,21 @@
         self.next_deadline
     }
 
-    /// The changes to announce to the engine. None if there is nothing to announce; an empty list if
+    /// Takes the changes to announce to the engine. None if there is nothing to announce; an empty list if
     /// discovery sent an update that changed nothing.
     pub fn take_changes(&mut self) -> Option<Vec<NodeChange>> {
         let updated = std::mem::take(&mut self.unreported_update);
         (updated || self.nodes.has_changes()).then(|| self.nodes.take_changes())
     }
 
-    /// Nodes that have warmed up in the meantime, whatever start was announced of them.
+    /// Takes the nodes that were found to be warmed up since the last call, regardless of the start that was
+    /// announced for them.
     pub fn take_warmed_up(&mut self) -> Vec<ReplicaId> {
         std::mem::take(&mut self.warmed_up)
     }
 
-    /// Whether discovery has sent an update since the last call. Admissions and failures change the list too,
-    /// but are no sign that discovery is available.
+    /// Whether discovery has sent an update since the last call. Admissions and failures also change the
+    /// list, but do not show that discovery is available.
     pub fn take_discovery_answered(&mut self) -> bool {
         std::mem::take(&mut self.discovery_answered)
     }
@@ -132,8 +134,8 @@
         self.view.view(id).filter(|node| node.state == NodeState::Ready)
     }
 
-    /// When a node was last confirmed: by its own answer, by discovery's report of it, or of the list as a
-    /// whole.
+    /// When a node was last confirmed: by its own answer, by a report of discovery about it, or by a
+    /// confirmation of the list as a whole.
     fn last_confirmation(&self, node: &TrackedNode, id: &str) -> Option<Nanos> {
         let listed = self
             .view
--- a/src/membership/registry/node_table.rs
+++ b/src/membership/registry/node_table.rs
@@ -1,11 +1,11 @@
-//! The tracked nodes by id and by replica number, and the changes to announce of them.
+//! The tracked nodes by id and by replica number, and the changes to announce.
 
 use super::tracked_node::TrackedNode;
 use crate::api::{ReplicaEntry, ReplicaId, ReplicaState};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// A change of one node: the engine's entry, and what connections to the node need.
+/// A change of one node: the engine's entry, and the data needed to connect to the node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeChange {
     /// The entry for the engine.
@@ -58,7 +58,7 @@
         self.nodes.get_mut(id).map(|node| (id.as_str(), node))
     }
 
-    /// The node with this id, tracked from now on under a replica number of its own if it was not yet.
+    /// The node with this id; if it is not tracked yet, starts to track it under a new replica number.
     pub(super) fn track(&mut self, id: &str, addr: SocketAddr) -> &mut TrackedNode {
         self.nodes.entry(id.to_owned()).or_insert_with(|| {
             let replica = ReplicaId(self.next_replica);
@@ -68,12 +68,17 @@
         })
     }
 
-    /// Stops tracking a node, and announces that if the node was announced.
+    /// Stops tracking a node, and announces its removal if the node was announced.
     pub(super) fn remove(&mut self, id: &str) {
         let Some(node) = self.nodes.remove(id) else { return };
         self.ids.remove(&node.replica);
         if let Some(announced) = node.announced {
-            tracing::info!(replica = announced.replica.0, node = %id, state = "Removed", "node gets no new attempts");
+            tracing::info!(
+                replica = announced.replica.0,
+                node = %id,
+                state = "Removed",
+                "node gets no new attempts"
+            );
             let entry = ReplicaEntry { state: ReplicaState::Removed, ..announced };
             self.changes.push(NodeChange { entry, id: id.to_owned(), addr: None, kind: String::new() });
         }
@@ -95,12 +100,22 @@
             "replica entry was announced"
         );
         if entry.state == ReplicaState::Draining {
-            tracing::info!(replica = entry.replica.0, node = %id, state = "Draining", "node gets no new attempts");
+            tracing::info!(
+                replica = entry.replica.0,
+                node = %id,
+                state = "Draining",
+                "node gets no new attempts"
+            );
         }
         if node.announced.as_ref().is_some_and(|last| last.state == ReplicaState::Draining)
             && entry.state == ReplicaState::Active
         {
-            tracing::info!(replica = entry.replica.0, node = %id, started_ns = ?entry.started, "node gets attempts again");
+            tracing::info!(
+                replica = entry.replica.0,
+                node = %id,
+                started_ns = ?entry.started,
+                "node gets attempts again"
+            );
         }
         node.announced = Some(entry.clone());
         let addr = Some(node.addr);
--- a/src/membership/registry/placement.rs
+++ b/src/membership/registry/placement.rs
@@ -1,4 +1,4 @@
-//! The placement of ready nodes, by which changes are counted.
+//! The placement of ready nodes, compared between updates to count changed nodes.
 
 use crate::api::Nanos;
 use crate::membership::NodeRecord;
@@ -18,7 +18,7 @@
         Placement { addr: record.addr, cell: record.cell, started: record.started }
     }
 
-    /// Whether a later placement is the same. A start that is no longer stated was long ago: that is no
+    /// Whether a later placement is the same. A start that is no longer stated was long ago, which is no
     /// change.
     pub(super) fn is_unchanged_in(&self, later: &Placement) -> bool {
         let same_start = self.started == later.started || later.started == 0;
@@ -30,6 +30,6 @@
 #[derive(Debug)]
 pub(super) struct ReadyPlacements {
     pub(super) by_id: HashMap<String, Placement>,
-    /// Number of nodes that are watched in all.
+    /// Total number of watched nodes.
     pub(super) watched_nodes: usize,
 }
--- a/src/membership/registry/reconciliation.rs
+++ b/src/membership/registry/reconciliation.rs
@@ -8,7 +8,8 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// A ready node's claim to its address: the greatest version, then the latest start, has the address.
+/// A ready node's claim to its address. Of several nodes at one address, the one with the highest version,
+/// then the one with the latest start, takes precedence.
 struct AddrClaim<'a> {
     source_version: SourceVersion,
     started: Nanos,
@@ -22,7 +23,7 @@
 }
 
 impl Registry {
-    /// Ids of ready nodes whose address is claimed by another node with precedence.
+    /// Ids of ready nodes whose address is claimed by another node with higher precedence.
     fn displaced_nodes(&self) -> HashSet<String> {
         let mut claims_by_addr: HashMap<SocketAddr, Vec<AddrClaim<'_>>> = HashMap::new();
         for id in self.view.ids() {
@@ -43,8 +44,8 @@
         displaced
     }
 
-    /// Reconciles only the named nodes, which suffices while all nodes are confirmed. Returns false if all
-    /// nodes must be reconciled.
+    /// Reconciles only the named nodes, which is sufficient while all nodes are confirmed. Returns false if
+    /// all nodes must be reconciled.
     pub(super) fn reconcile_named(&mut self, ids: &[&str], now: Nanos) -> bool {
         ids.iter().all(|id| self.reconcile_one(id, now))
     }
@@ -135,8 +136,8 @@
         self.nodes.remove(id);
     }
 
-    /// Tracks a node at this address. At another address it is another process: nothing that was learned
-    /// holds.
+    /// Tracks a node at this address. A node at a new address is a new process, so the state tracked for the
+    /// previous address is dropped.
     fn track_at(&mut self, id: &str, addr: SocketAddr) {
         if self.nodes.get(id).is_some_and(|node| node.addr != addr) {
             tracing::info!(node = %id, addr = %addr, "node has moved to another address");
@@ -145,7 +146,7 @@
         self.nodes.track(id, addr);
     }
 
-    /// Announces a tracked node in this state, if that differs from what was announced.
+    /// Announces a tracked node with this state, if its entry differs from the one announced last.
     pub(super) fn announce(&mut self, id: &str, record: &NodeRecord, state: ReplicaState, now: Nanos) {
         let zone = self.settings.zones.get(&record.zone).copied().unwrap_or(u32::MAX);
         if let Some(node) = self.nodes.get(id) {
--- a/src/membership/registry/settings.rs
+++ b/src/membership/registry/settings.rs
@@ -9,21 +9,21 @@
 pub struct RegistrySettings {
     /// How partitions are assigned to cells.
     pub layout: PartitionLayout,
-    /// Time in which a started node warms up, ns.
+    /// Time that a node takes to warm up after its start, ns.
     pub warm_up: Nanos,
     /// Configured estimate of the mean time between two changes of one node (a move, a replacement, a drain
     /// or a restart), ns.
     pub mean_change_interval: Nanos,
-    /// Age that is assumed of a list that does not state its own, ns.
+    /// Age assumed for a list whose confirmation time is unknown or in the future, ns.
     pub default_list_age: Nanos,
-    /// Time without an answer, ns, after which a cancelled attempt counts as a failure.
+    /// Time without an answer after which a cancelled attempt counts as a failure, ns.
     pub silence_timeout: Nanos,
     /// Numbers of the zones by name.
     pub zones: HashMap<String, u32>,
     /// Kinds of node that can be called; empty: all.
     pub kinds: Vec<String>,
-    /// Seed of the order in which unconfirmed nodes are admitted. Each broker needs its own, so that they
-    /// don't all send to the same node, which may be cold.
+    /// Seed of the order in which unconfirmed nodes are admitted. Each broker needs a different one, so that
+    /// they don't all send to the same node, which may be cold.
     pub seed: u64,
 }
 
--- a/src/membership/registry/snapshot_schedule.rs
+++ b/src/membership/registry/snapshot_schedule.rs
@@ -1,16 +1,16 @@
-//! When snapshots are to be stored.
+//! Decides when snapshots are stored.
 
 use crate::api::Nanos;
 
 /// Shortest time between two snapshots, ns.
 const MIN_SNAPSHOT_INTERVAL: Nanos = 500_000_000;
-/// Time after which a snapshot is renewed although only its confirmation is newer, ns.
+/// Time after which a snapshot is stored again although only its confirmation time is newer, ns.
 const SNAPSHOT_REFRESH_INTERVAL: Nanos = 30_000_000_000;
 
 /// The schedule of snapshots.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotSchedule {
-    /// An update was received that no snapshot has.
+    /// An update was received that no snapshot contains.
     unsaved: bool,
     last_snapshot: Option<Nanos>,
 }
@@ -34,7 +34,7 @@
         let interval = match (self.unsaved, watching) {
             (true, _) => MIN_SNAPSHOT_INTERVAL,
             (false, true) => SNAPSHOT_REFRESH_INTERVAL,
-            // A list that this process has not seen confirmed is on disk already.
+            // Without an update or a watch, the stored snapshot is still current.
             (false, false) => return None,
         };
         Some(self.last_snapshot.map_or(0, |last| last + interval))
--- a/src/membership/registry/snapshots.rs
+++ b/src/membership/registry/snapshots.rs
@@ -6,8 +6,8 @@
 use crate::membership::snapshot::{Snapshot, SnapshotNode};
 
 impl Registry {
-    /// The snapshot to store, if one is due: some time after an update, or after a longer time to renew the
-    /// confirmation.
+    /// The snapshot to store, if one is due: shortly after an update, or after a longer interval to store the
+    /// latest confirmation time.
     pub fn take_snapshot(&mut self, now: Nanos) -> Option<Snapshot> {
         if self.snapshot_due().is_none_or(|due| due > now) {
             return None;
--- a/src/membership/registry/sources.rs
+++ b/src/membership/registry/sources.rs
@@ -11,11 +11,11 @@
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Most endpoints of one list that are logged one by one.
+/// Maximum number of endpoints of one list that are logged individually.
 const MAX_LOGGED_ENDPOINTS: usize = 8;
 
 impl Registry {
-    /// Restores all generations of the stored snapshot. Comes before all other sources.
+    /// Restores all generations of the stored snapshot. Must be called before any other source is merged.
     pub fn restore(&mut self, generations: &[Snapshot], now: Nanos) {
         for snapshot in generations {
             snapshot.merge_into(&mut self.view);
@@ -45,7 +45,8 @@
         }
     }
 
-    /// A stored time. One in the future says only that a clock was wrong, and counts as the default age.
+    /// Returns a stored time. One in the future shows that a clock was wrong, and is replaced by the default
+    /// age before `now`.
     fn clamp_stored_time(&self, at: Nanos, now: Nanos) -> Nanos {
         if at <= now { at } else { now.saturating_sub(self.settings.default_list_age) }
     }
@@ -57,9 +58,11 @@
         node.confirmed = node.confirmed.max(Some(at));
     }
 
-    /// Merges the list in the configuration, in discovery's form: as this broker last received it.
+    /// Merges the list in the configuration, which has discovery's format and is treated as a list that
+    /// discovery sent earlier.
     pub fn add_configured(&mut self, list: &EndpointList, now: Nanos) {
-        // After a reset of discovery's versions this list may be older: it must not undo anything.
+        // After a reset of discovery's versions this list may be older. Epoch 0 keeps it from undoing later
+        // records.
         let source_version =
             SourceVersion { priority: SourcePriority::Directory, epoch: 0, version: list.version };
         let stated = list.as_of_ms.map(|ms| self.clamp_stored_time(ms.saturating_mul(1_000_000), now));
@@ -91,9 +94,9 @@
         self.reconcile_all(now);
     }
 
-    /// Merges an update from discovery. `first`: it is the first of a new watch, which has all changes since
-    /// the requested version, or else the full list. Returns whether it was accepted: one that is older than
-    /// the current version is ignored, unless it shows that discovery's versions were reset.
+    /// Merges an update from discovery. `first`: it is the first update of a new watch, which contains either
+    /// all changes since the requested version or the full list. Returns whether it was accepted: an update
+    /// older than the current version is ignored, unless it shows that discovery's versions were reset.
     pub fn on_discovery_update(&mut self, list: &EndpointList, first: bool, now: Nanos) -> bool {
         self.unreported_update = true;
         self.discovery_answered = true;
@@ -109,7 +112,7 @@
             return false;
         }
         if version_reset {
-            // A discovery that restarted sends a full list older than what it sent already; so does an instance
+            // After a restart, discovery sends a full list older than its previous ones; so does an instance
             // that lags behind.
             self.begin_epoch(list.version);
         }
@@ -118,7 +121,7 @@
             (!has_all).then(|| list.servers.iter().map(|server| server.id.as_str()).collect());
         let before = self.ready_placements(named.as_deref());
         self.merge_discovery_update(list, first, version_reset, &before, now);
-        // The list as a whole was just confirmed: only named nodes can have changed, if nothing else is open.
+        // If all nodes are confirmed, only the named ones can have changed.
         match named {
             Some(named) if self.all_confirmed && self.reconcile_named(&named, now) => self.dirty = false,
             _ => self.reconcile_all(now),
@@ -126,8 +129,8 @@
         true
     }
 
-    /// Merges the first changes of a watch that requested all changes since the beginning, from a discovery
-    /// whose versions were reset. Nodes that it does not name stay as they are.
+    /// Merges the first update of a watch that requested all changes since version 0, after a reset of
+    /// discovery's versions. Nodes that it does not name stay unchanged.
     pub fn on_changes_after_reset(&mut self, list: &EndpointList, now: Nanos) {
         self.unreported_update = true;
         self.discovery_answered = true;
@@ -143,8 +146,9 @@
         self.directory.epoch += 1;
     }
 
-    /// Records nodes as gone that the latest full list omits. An older list that takes its place names them
-    /// perhaps, and must not undo what is known: as with drains, only a start after it or a later change does.
+    /// Records the nodes that the latest full list omits as gone. The older list that replaces it may name
+    /// them, and must not return them to service: as with drains, only a later process start or a later
+    /// change does.
     fn keep_omissions(&mut self) {
         let Some((version, received)) = self.view.full_list(SourcePriority::Directory) else { return };
         let is_omitted = |id: &&str| {
@@ -188,7 +192,7 @@
             self.confirm_node(&server.id, now);
         }
         if confirms_all {
-            // Discovery knows when each node started: nothing need be assumed.
+            // Discovery has confirmed all nodes and their starts, so no start has to be assumed.
             self.end_assumed_warm_ups();
         }
         self.directory.on_heartbeat(now);
@@ -211,7 +215,7 @@
         }
         let report = Report { source_version, full: list.full, after_reset, received: now };
         self.view.apply_report(report, list.servers.iter().map(|server| server.record()));
-        // Negative: by its stamp a node starts later than now, so one of the two clocks is wrong.
+        // Negative if a node's stamp is later than now, in which case one of the two clocks is wrong.
         let latest_start_ms = list.servers.iter().map(|server| server.started_ms).max().filter(|ms| *ms > 0);
         let latest_start_age_ms = latest_start_ms.map(|ms| (now / NANOS_PER_MILLI).wrapping_sub(ms) as i64);
         tracing::info!(
@@ -223,7 +227,7 @@
         );
     }
 
-    /// The placements of the named nodes that are ready, or of all.
+    /// The placements of those named nodes that are ready, or of all ready nodes.
     fn ready_placements(&self, named: Option<&[&str]>) -> ReadyPlacements {
         let placement =
             |id: &str| self.ready_view(id).map(|view| (id.to_owned(), Placement::of(&view.versioned.record)));
@@ -256,12 +260,12 @@
         );
     }
 
-    /// Records that the watch is established and has nothing to report: the list is current.
+    /// Records that the watch is established and there are no changes: the list is current.
     pub fn on_heartbeat(&mut self, now: Nanos) {
         self.directory.on_heartbeat(now);
     }
 
-    /// Records that the watch ended, or could not be established.
+    /// Records that the watch ended or could not be established.
     pub fn watch_lost(&mut self) {
         self.directory.watched_since = None;
     }
--- a/src/membership/registry/status.rs
+++ b/src/membership/registry/status.rs
@@ -19,25 +19,26 @@
     pub trust: f64,
 }
 
-/// What discovery last reported of a node's process.
+/// What discovery last reported about a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryState {
     /// State of the process.
     pub state: NodeState,
-    /// Unix time of the process start, ns; 0: long ago.
+    /// Unix time of the process start, ns; 0 means long ago.
     pub started: Nanos,
     /// Version of the list that reported the state.
     pub version: u64,
 }
 
 impl Registry {
-    /// Whether any source has named this node, unless it was pruned since.
+    /// Whether any source has listed this node and it has not been pruned since.
     #[must_use]
     pub fn knows(&self, id: &str) -> bool {
         self.view.view(id).is_some()
     }
 
-    /// What discovery last reported of a node's process; none if another source determines the node's state.
+    /// What discovery last reported about a node's process; none if another source determines the node's
+    /// state.
     #[must_use]
     pub fn discovery_state(&self, id: &str) -> Option<DiscoveryState> {
         let view = self.view.view(id)?;
@@ -63,13 +64,13 @@
         self.directory.version
     }
 
-    /// Number of resets of discovery's versions.
+    /// Number of times that discovery's versions were reset.
     #[must_use]
     pub fn epoch(&self) -> u32 {
         self.directory.epoch
     }
 
-    /// Whether more nodes may be admitted soon: the list as a whole was not confirmed recently.
+    /// Whether more nodes may be admitted soon, because the list as a whole was not confirmed recently.
     #[must_use]
     pub fn may_gain_nodes(&self, now: Nanos) -> bool {
         let confirmed = self.directory.last_confirmed;
--- a/src/membership/registry/tracked_node.rs
+++ b/src/membership/registry/tracked_node.rs
@@ -9,14 +9,14 @@
 /// Longest ejection of an unconfirmed node that failed, ns.
 const MAX_EJECTION: Nanos = 30_000_000_000;
 
-/// Whether a node gets work.
+/// Whether a node receives work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AdmissionState {
-    /// It was not admitted yet.
+    /// Not admitted yet.
     Waiting,
-    /// It gets work.
+    /// Receives work.
     Admitted,
-    /// It failed while it was unconfirmed, and gets no work until then.
+    /// Failed while it was unconfirmed, and receives no work before `until`, unix ns.
     Ejected { until: Nanos },
 }
 
@@ -25,7 +25,7 @@
 pub(super) struct TrackedNode {
     pub(super) replica: ReplicaId,
     pub(super) addr: SocketAddr,
-    /// When discovery or an answer of its own confirmed it last.
+    /// When discovery, the operator's file or a good answer of the node last confirmed it, unix ns.
     pub(super) confirmed: Option<Nanos>,
     pub(super) admission: AdmissionState,
     failures: u32,
@@ -33,11 +33,11 @@
     ejection_time: Nanos,
     /// The process start that is assumed while it is unconfirmed, unix ns.
     pub(super) assumed_start: Option<Nanos>,
-    /// It has given a good answer.
+    /// Whether it has given a good answer.
     pub(super) has_answered: bool,
     /// The entry that was announced last.
     pub(super) announced: Option<ReplicaEntry>,
-    /// Since when its connections fail.
+    /// When connections to it began to fail, unix ns; none while it is reachable.
     unreachable_since: Option<Nanos>,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Counts a failure of a node that is trusted so far. Returns whether that ejects it.
+    /// Counts a failure of a node with this trust, from 0 to 1. Returns whether that ejects it.
     pub(super) fn on_failure(&mut self, trust: f64, now: Nanos) -> bool {
         self.failures += 1;
         let limit = staleness::failures_until_ejection(trust);
@@ -92,15 +92,16 @@
         ejected
     }
 
-    /// Admits a node that was waiting, as one that may have restarted just now.
+    /// Admits a node that was waiting. It may have restarted, so a start is assumed: the lower the trust, the
+    /// later.
     pub(super) fn admit_unconfirmed(&mut self, trust: f64, warm_up: Nanos, now: Nanos) {
         self.failures = 0;
         self.assumed_start = staleness::assumed_start(trust, now, warm_up);
         self.admission = AdmissionState::Admitted;
     }
 
-    /// The entry to announce of this node in this state. `learned_start`: when it started, if that was learned while the
-    /// list was live.
+    /// The entry to announce for this node with this state. `learned_start`: when it started, if that was
+    /// learned while the list was live.
     pub(super) fn replica_entry(
         &self,
         record: &NodeRecord,
@@ -109,9 +110,9 @@
         learned_start: Option<Nanos>,
         now: Nanos,
     ) -> ReplicaEntry {
-        // A start in the future would make the node cold for as long as its clock is wrong.
+        // With a start in the future the node would count as cold until this broker's clock reaches it.
         let reported = (record.started > 0).then(|| record.started.min(now));
-        // What was announced for a start in the future is not renewed each time.
+        // A start in the future keeps the time that was announced for it first, and is not replaced by `now`.
         let announced = self.announced.as_ref().and_then(|entry| entry.started);
         let stamped = announced.filter(|_| record.started > now).or(reported);
         let started = learned_start.or(stamped).max(self.assumed_start);
