--- a/src/membership/registry/attempts.rs
+++ b/src/membership/registry/attempts.rs
@@ -23,11 +23,11 @@
     pub fn on_attempt_end(&mut self, replica: ReplicaId, outcome: Outcome, latency: Nanos, now: Nanos) {
         let Some((id, node)) = self.nodes.by_replica_mut(replica) else { return };
         let silent = latency >= self.settings.silence_timeout;
-        match judge(outcome, silent, node.has_answered) {
+        match classify_outcome(outcome, silent, node.has_answered) {
             Evidence::Success => {
                 self.dirty |= node.on_success(id, now);
                 if node.assumed_start.is_some() {
-                    self.judge_warm_up(replica, latency);
+                    self.check_warm_up(replica, latency);
                 }
             }
             Evidence::Unreachable => {
@@ -41,7 +41,7 @@
 
     /// Ends the assumed warm-up of a node whose answer was about as fast as most others. It must also come
     /// within the silence timeout, since all nodes in the window may be cold.
-    fn judge_warm_up(&mut self, replica: ReplicaId, latency: Nanos) {
+    fn check_warm_up(&mut self, replica: ReplicaId, latency: Nanos) {
         let is_warm = self.recent_latencies.observe(latency);
         if is_warm && latency <= self.settings.silence_timeout {
             self.end_assumed_warm_up(replica);
@@ -76,7 +76,7 @@
 }
 
 /// `silent`: the attempt lasted at least the silence timeout.
-fn judge(outcome: Outcome, silent: bool, has_answered: bool) -> Evidence {
+fn classify_outcome(outcome: Outcome, silent: bool, has_answered: bool) -> Evidence {
     match outcome {
         Outcome::Ok => Evidence::Success,
         Outcome::ConnectFailed => Evidence::Unreachable,
--- a/src/membership/registry/reconciliation.rs
+++ b/src/membership/registry/reconciliation.rs
@@ -150,7 +150,7 @@
     pub(super) fn announce(&mut self, id: &str, record: &NodeRecord, state: ReplicaState, now: Nanos) {
         let zone = self.settings.zones.get(&record.zone).copied().unwrap_or(u32::MAX);
         if let Some(node) = self.nodes.get(id) {
-            let learned_start = self.start_stamps.learned(id, record.started);
+            let learned_start = self.start_stamps.learned_start(id, record.started);
             let entry = node.replica_entry(record, zone, state, learned_start, now);
             self.nodes.announce(id, &record.kind, entry);
         }
--- a/src/membership/registry/sources.rs
+++ b/src/membership/registry/sources.rs
@@ -30,7 +30,7 @@
             self.directory.confirm(confirmed);
         }
         for node in generations.iter().flat_map(|snapshot| &snapshot.nodes) {
-            self.start_stamps.note_stored(&node.record.id, node.record.started);
+            self.start_stamps.record_stored(&node.record.id, node.record.started);
             if let Some(at) = node.confirmed.map(|at| self.clamp_stored_time(at, now)) {
                 self.confirm_node(&node.record.id, at);
             }
@@ -74,7 +74,7 @@
             }
         }
         for server in &list.servers {
-            self.start_stamps.note_stored(&server.id, server.started());
+            self.start_stamps.record_stored(&server.id, server.started());
         }
         self.merge_list(source_version, list, false, now);
         self.reconcile_all(now);
@@ -142,14 +142,14 @@
 
     fn begin_epoch(&mut self, version: u64) {
         tracing::warn!(version, previous_version = self.directory.version, "discovery versions were reset");
-        self.keep_omissions();
+        self.record_omitted_as_gone();
         self.directory.epoch += 1;
     }
 
     /// Records the nodes that the latest full list omits as gone. The older list that replaces it may name
     /// them, and must not return them to service: as with drains, only a later process start or a later
     /// change does.
-    fn keep_omissions(&mut self) {
+    fn record_omitted_as_gone(&mut self) {
         let Some((version, received)) = self.view.full_list(SourcePriority::Directory) else { return };
         let is_omitted = |id: &&str| {
             self.view.view(id).is_some_and(|view| {
@@ -177,9 +177,9 @@
         before: &ReadyPlacements,
         now: Nanos,
     ) {
-        let mut stamps = self.start_stamps.on_discovery_list();
+        let mut stamps = self.start_stamps.begin_discovery_list();
         for server in list.servers.iter().filter(|server| server.state == NodeState::Ready) {
-            stamps.note(&server.id, server.started(), now);
+            stamps.record(&server.id, server.started(), now);
         }
         self.directory.version = list.version;
         self.merge_list(self.directory.source_version(), list, version_reset, now);
--- a/src/membership/registry/start_stamps.rs
+++ b/src/membership/registry/start_stamps.rs
@@ -31,19 +31,19 @@
 
 impl StartStamps {
     /// Starts to record the stamps of a list received from discovery.
-    pub(super) fn on_discovery_list(&mut self) -> LiveList<'_> {
+    pub(super) fn begin_discovery_list(&mut self) -> LiveStampRecorder<'_> {
         let is_live = std::mem::replace(&mut self.is_live, true);
-        LiveList { starts: &mut self.starts, is_live }
+        LiveStampRecorder { starts: &mut self.starts, is_live }
     }
 
     /// Records the stamp of a node in a list that was stored or configured, unix ns; 0 means long ago.
-    pub(super) fn note_stored(&mut self, id: &str, stamp: Nanos) {
-        note(&mut self.starts, id, stamp, None);
+    pub(super) fn record_stored(&mut self, id: &str, stamp: Nanos) {
+        record_stamp(&mut self.starts, id, stamp, None);
     }
 
     /// When a node with this stamp started by this broker's clock; none if that was not learned while the
     /// list was live.
-    pub(super) fn learned(&self, id: &str, stamp: Nanos) -> Option<Nanos> {
+    pub(super) fn learned_start(&self, id: &str, stamp: Nanos) -> Option<Nanos> {
         self.starts.get(id).filter(|start| start.stamp == stamp)?.learned
     }
 
@@ -54,20 +54,20 @@
 }
 
 /// Records the stamps of one list received from discovery.
-pub(super) struct LiveList<'a> {
+pub(super) struct LiveStampRecorder<'a> {
     starts: &'a mut HashMap<String, KnownStart>,
     is_live: bool,
 }
 
-impl LiveList<'_> {
+impl LiveStampRecorder<'_> {
     /// Records the stamp of a node that is ready, unix ns; 0 means long ago.
-    pub(super) fn note(&mut self, id: &str, stamp: Nanos, now: Nanos) {
+    pub(super) fn record(&mut self, id: &str, stamp: Nanos, now: Nanos) {
         let learned = stamp.clamp(now.saturating_sub(MAX_AGE_WHEN_LEARNED), now);
-        note(self.starts, id, stamp, self.is_live.then_some(learned));
+        record_stamp(self.starts, id, stamp, self.is_live.then_some(learned));
     }
 }
 
-fn note(starts: &mut HashMap<String, KnownStart>, id: &str, stamp: Nanos, learned: Option<Nanos>) {
+fn record_stamp(starts: &mut HashMap<String, KnownStart>, id: &str, stamp: Nanos, learned: Option<Nanos>) {
     if stamp > 0 && starts.get(id).is_none_or(|start| start.stamp != stamp) {
         starts.insert(id.to_owned(), KnownStart { stamp, learned });
     }
