--- a/src/membership/gossip_hints.rs
+++ b/src/membership/gossip_hints.rs
@@ -13,7 +13,7 @@
 
 /// What this broker's own sources report about a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LocalHints {
+pub struct LocalReport {
     /// The node's process start in the own list, unix ns; 0 means long ago.
     pub started: Nanos,
     /// Version of the own list.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 struct LocalNode {
     change: NodeChange,
-    hints: LocalHints,
+    report: LocalReport,
 }
 
 /// The hints of other brokers, and the nodes that they are applied to.
@@ -41,7 +41,7 @@
 
 impl PeerHints {
     /// Whether a peer knows of a drain that the own list does not have yet.
-    fn is_drained(hints: &NodeHints, local: LocalHints) -> bool {
+    fn is_drained(hints: &NodeHints, local: LocalReport) -> bool {
         let is_newer = |drain: &ProcessStart| {
             let newer = (drain.started, drain.list_version) > (local.started, local.version);
             // A process that started after the drain is a new one, to which the drain does not apply.
@@ -50,7 +50,7 @@
         hints.drain.as_ref().is_some_and(is_newer)
     }
 
-    fn with_hints(&self, change: &NodeChange, local: LocalHints) -> NodeChange {
+    fn with_hints(&self, change: &NodeChange, local: LocalReport) -> NodeChange {
         let mut change = change.clone();
         if let Some(hints) = self.hints.get(&change.id)
             && change.entry.state != ReplicaState::Removed
@@ -66,30 +66,30 @@
     }
 
     fn current(&self, id: &str) -> Option<NodeChange> {
-        self.local.get(id).map(|node| self.with_hints(&node.change, node.hints))
+        self.local.get(id).map(|node| self.with_hints(&node.change, node.report))
     }
 
-    /// Applies the hints to changes from the own sources; `local_hints` returns what these sources report
+    /// Applies the hints to changes from the own sources; `local_report` returns what these sources report
     /// about a node.
     pub fn apply_changes(
         &mut self,
         changes: Vec<NodeChange>,
-        local_hints: impl Fn(&str) -> LocalHints,
+        local_report: impl Fn(&str) -> LocalReport,
     ) -> Vec<NodeChange> {
         changes
             .into_iter()
             .map(|change| {
-                let hints = local_hints(&change.id);
-                let hinted = self.with_hints(&change, hints);
-                self.store_local(change, hints);
+                let report = local_report(&change.id);
+                let hinted = self.with_hints(&change, report);
+                self.store_local(change, report);
                 hinted
             })
             .collect()
     }
 
-    fn store_local(&mut self, change: NodeChange, hints: LocalHints) {
+    fn store_local(&mut self, change: NodeChange, report: LocalReport) {
         if change.entry.state != ReplicaState::Removed {
-            self.local.insert(change.id.clone(), LocalNode { change, hints });
+            self.local.insert(change.id.clone(), LocalNode { change, report });
             return;
         }
         // For a node that moved, the removal of its old replica number follows the addition of the new one.
@@ -120,20 +120,20 @@
     pub fn on_list_change(
         &mut self,
         version_reset: bool,
-        local_hints: impl Fn(&str) -> LocalHints,
+        local_report: impl Fn(&str) -> LocalReport,
     ) -> Vec<NodeChange> {
         let mut changes = Vec::new();
         let is_listed = |id: &&String| self.local.contains_key(*id);
         let ids: Vec<String> = self.hints.keys().filter(is_listed).cloned().collect();
         for id in ids {
             let Some(node) = self.local.get(&id).cloned() else { continue };
-            let before = self.with_hints(&node.change, node.hints);
-            let hints = local_hints(&id);
+            let before = self.with_hints(&node.change, node.report);
+            let report = local_report(&id);
             if version_reset && let Some(hinted) = self.hints.get_mut(&id) {
                 hinted.drain = None;
             }
-            let after = self.with_hints(&node.change, hints);
-            self.local.insert(id, LocalNode { hints, ..node });
+            let after = self.with_hints(&node.change, report);
+            self.local.insert(id, LocalNode { report, ..node });
             if after != before {
                 changes.push(after);
             }
@@ -154,7 +154,7 @@
     #[must_use]
     pub fn drained_count(&self) -> usize {
         let is_drained = |(id, node): &(&String, &LocalNode)| {
-            self.hints.get(*id).is_some_and(|hints| PeerHints::is_drained(hints, node.hints))
+            self.hints.get(*id).is_some_and(|hints| PeerHints::is_drained(hints, node.report))
         };
         self.local.iter().filter(is_drained).count()
     }
--- a/src/server/hint_exchange.rs
+++ b/src/server/hint_exchange.rs
@@ -1,6 +1,6 @@
 //! Hints on drains and starts of nodes, from other brokers and for them.
 
-use crate::membership::gossip_hints::{LocalHints, PeerHints};
+use crate::membership::gossip_hints::{LocalReport, PeerHints};
 use crate::membership::{DiscoveryState, NodeChange, NodeState, Registry};
 use crate::replication::derived_state::NodeHints;
 use crate::replication::{FactKey, ProcessStart};
@@ -73,7 +73,7 @@
 }
 
 /// What the own list reports of a node.
-fn local_hints(registry: &Registry, id: &str) -> LocalHints {
+fn local_hints(registry: &Registry, id: &str) -> LocalReport {
     let started = registry.discovery_state(id).map_or(0, |known| known.started);
-    LocalHints { started, version: registry.version() }
+    LocalReport { started, version: registry.version() }
 }
--- a/tests/membership_registry/peer_hints.rs
+++ b/tests/membership_registry/peer_hints.rs
@@ -4,7 +4,7 @@
 #[test]
 fn a_drain_from_a_peers_hint_holds_until_the_own_list_or_the_node_is_newer() {
     use pebbleturn::membership::NodeChange;
-    use pebbleturn::membership::gossip_hints::{LocalHints, PeerHints};
+    use pebbleturn::membership::gossip_hints::{LocalReport, PeerHints};
     use pebbleturn::replication::ProcessStart;
     use pebbleturn::replication::derived_state::NodeHints;
     use pebbleturn::{ReplicaEntry, ReplicaId, ReplicaState};
@@ -21,7 +21,7 @@
         addr: None,
         kind: String::new(),
     };
-    let own = |started, version| move |_: &str| LocalHints { started, version };
+    let own = |started, version| move |_: &str| LocalReport { started, version };
     let drain = |started, version| NodeHints {
         drain: Some(ProcessStart { started, list_version: version }),
         started: 0,
--- a/tests/recorded_decisions/membership.rs
+++ b/tests/recorded_decisions/membership.rs
@@ -9,7 +9,7 @@
 use crate::digest::{Digest, OUTCOMES, standing_tag, state_tag};
 use crate::{RandomSource, Recorded, assert_recorded};
 use pebbleturn::membership::endpoint_list::{Endpoint, EndpointList};
-use pebbleturn::membership::gossip_hints::{LocalHints, PeerHints};
+use pebbleturn::membership::gossip_hints::{LocalReport, PeerHints};
 use pebbleturn::membership::poll_backoff::PollBackoff;
 use pebbleturn::membership::probation::{Admission, Candidate, admit};
 use pebbleturn::membership::snapshot::{Snapshot, encode};
@@ -331,9 +331,9 @@
 }
 
 /// What this broker's own list says of a node.
-fn own_word(roster: &Registry, id: &str) -> LocalHints {
+fn own_word(roster: &Registry, id: &str) -> LocalReport {
     let told = roster.discovery_state(id);
-    told.map_or(LocalHints::default(), |told| LocalHints { started: told.started, version: told.version })
+    told.map_or(LocalReport::default(), |told| LocalReport { started: told.started, version: told.version })
 }
 
 /// The stored form, whose names stay.
