--- a/tests/membership_registry/fixture.rs
+++ b/tests/membership_registry/fixture.rs
@@ -9,7 +9,7 @@
 pub const S: Nanos = 1_000_000_000;
 pub const HOUR: Nanos = 3600 * S;
 /// A time of day for tests: long after the epoch.
-pub const NOON: Nanos = 1_000_000 * S;
+pub const START_TIME: Nanos = 1_000_000 * S;
 
 pub fn settings() -> RegistrySettings {
     RegistrySettings {
@@ -24,7 +24,7 @@
     }
 }
 
-pub fn server(n: u32, state: NodeState, started_ms: u64) -> Endpoint {
+pub fn endpoint(n: u32, state: NodeState, started_ms: u64) -> Endpoint {
     Endpoint {
         id: format!("s-{n}"),
         addr: format!("127.0.0.{}:80", n + 1),
@@ -40,8 +40,8 @@
     EndpointList { version, full, as_of_ms: None, servers }
 }
 
-pub fn eight(version: u64) -> EndpointList {
-    list(version, true, (0..8).map(|n| server(n, NodeState::Ready, 0)).collect())
+pub fn eight_ready(version: u64) -> EndpointList {
+    list(version, true, (0..8).map(|n| endpoint(n, NodeState::Ready, 0)).collect())
 }
 
 /// A registry and what the exchange has been announced by it.
@@ -55,11 +55,11 @@
         Fixture { registry: Registry::new(settings()), announced: BTreeMap::new() }
     }
 
-    pub fn from(stored: &[&Snapshot], now: Nanos) -> Fixture {
-        let mut b = Fixture::new();
-        b.registry.restore(&stored.iter().map(|s| (*s).clone()).collect::<Vec<_>>(), now);
-        b.collect_changes();
-        b
+    pub fn restored(stored: &[&Snapshot], now: Nanos) -> Fixture {
+        let mut fixture = Fixture::new();
+        fixture.registry.restore(&stored.iter().map(|s| (*s).clone()).collect::<Vec<_>>(), now);
+        fixture.collect_changes();
+        fixture
     }
 
     pub fn collect_changes(&mut self) {
@@ -71,19 +71,19 @@
         }
     }
 
-    pub fn directory(&mut self, list: &EndpointList, first: bool, now: Nanos) {
+    pub fn discovery_update(&mut self, list: &EndpointList, first: bool, now: Nanos) {
         self.registry.on_discovery_update(list, first, now);
         self.collect_changes();
     }
 
-    pub fn outcome(&mut self, id: &str, outcome: Outcome, now: Nanos) {
+    pub fn end_attempt(&mut self, id: &str, outcome: Outcome, now: Nanos) {
         let replica = self.find(id).expect("announced").entry.replica;
         self.registry.on_attempt_end(replica, outcome, 2 * S, now);
         self.registry.tick(now);
         self.collect_changes();
     }
 
-    pub fn to(&mut self, now: Nanos) {
+    pub fn advance_to(&mut self, now: Nanos) {
         while let Some(due) = self.registry.next_deadline().filter(|t| *t <= now) {
             self.registry.tick(due);
         }
@@ -96,7 +96,7 @@
     }
 
     /// Ids that get new work.
-    pub fn ready(&self) -> Vec<&str> {
+    pub fn active_ids(&self) -> Vec<&str> {
         let mut ids: Vec<&str> = self
             .announced
             .values()
@@ -108,7 +108,7 @@
     }
 
     /// Holders of each of the four partitions that get new work.
-    pub fn holders(&self) -> [usize; 4] {
+    pub fn active_holders(&self) -> [usize; 4] {
         let at = |p: u32| {
             let holds = |c: &&NodeChange| (c.entry.cell + 4 - p) % 4 < 2;
             self.announced.values().filter(|c| c.entry.state == ReplicaState::Active).filter(holds).count()
@@ -118,7 +118,7 @@
 }
 
 pub fn snapshot_at(list: &EndpointList, now: Nanos) -> Snapshot {
-    let mut b = Fixture::new();
-    b.directory(list, true, now);
-    b.registry.snapshot(now)
+    let mut fixture = Fixture::new();
+    fixture.discovery_update(list, true, now);
+    fixture.registry.snapshot(now)
 }
--- a/tests/membership_registry/merging.rs
+++ b/tests/membership_registry/merging.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-struct ReportCase {
+struct ScriptedReport {
     source_version: SourceVersion,
     full: bool,
     after_reset: bool,
@@ -17,9 +17,9 @@
 }
 
 /// Random news of six nodes over three counts of the directory, and of the operator.
-fn reports(rng: &mut Pcg64Mcg) -> Vec<ReportCase> {
+fn random_reports(rng: &mut Pcg64Mcg) -> Vec<ScriptedReport> {
     let mut below = |n: u64| rng.next_u64() % n;
-    let mut out: Vec<ReportCase> = Vec::new();
+    let mut out: Vec<ScriptedReport> = Vec::new();
     for _ in 0..14 {
         let rank = if below(6) == 0 { SourcePriority::Operator } else { SourcePriority::Directory };
         let (epoch, version) =
@@ -29,16 +29,16 @@
         if out.iter().any(|n| n.source_version == source_version) {
             continue;
         }
-        let received = NOON + below(100) * S;
+        let received = START_TIME + below(100) * S;
         let facts = (0..below(5)).map(|_| {
             let n = below(6) as u32;
             let state = [NodeState::Ready, NodeState::Ready, NodeState::Terminating, NodeState::Gone]
                 [below(4) as usize];
-            let started = if below(2) == 0 { 0 } else { (NOON + below(120) * S) / 1_000_000 };
-            server(n, state, started).record()
+            let started = if below(2) == 0 { 0 } else { (START_TIME + below(120) * S) / 1_000_000 };
+            endpoint(n, state, started).record()
         });
         let facts: Vec<NodeRecord> = facts.collect();
-        out.push(ReportCase {
+        out.push(ScriptedReport {
             source_version,
             full: below(4) == 0,
             after_reset: epoch > 0 && below(4) == 0,
@@ -49,8 +49,8 @@
     out
 }
 
-fn merge(news: &[&ReportCase]) -> MergedView {
-    let mut b = MergedView::default();
+fn merge(news: &[&ScriptedReport]) -> MergedView {
+    let mut view = MergedView::default();
     for n in news {
         let report = Report {
             source_version: n.source_version,
@@ -58,9 +58,9 @@
             after_reset: n.after_reset,
             received: n.received,
         };
-        b.apply_report(report, n.facts.iter().cloned());
+        view.apply_report(report, n.facts.iter().cloned());
     }
-    b
+    view
 }
 
 fn shuffle<T>(rng: &mut Pcg64Mcg, items: &mut [T]) {
@@ -73,14 +73,14 @@
 fn reports_in_any_order_merge_to_the_same_view() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     for _ in 0..400 {
-        let all = reports(&mut rng);
-        let mut order: Vec<&ReportCase> = all.iter().collect();
+        let all = random_reports(&mut rng);
+        let mut order: Vec<&ScriptedReport> = all.iter().collect();
         let first = merge(&order);
         for _ in 0..4 {
             // Some of it comes twice, too.
             let again = all.iter().take(3);
             shuffle(&mut rng, &mut order);
-            let order: Vec<&ReportCase> = order.iter().copied().chain(again).collect();
+            let order: Vec<&ScriptedReport> = order.iter().copied().chain(again).collect();
             assert_eq!(merge(&order), first);
         }
     }
@@ -90,7 +90,7 @@
 fn a_restored_snapshot_merges_to_the_same_view() {
     let mut rng = Pcg64Mcg::seed_from_u64(2);
     for _ in 0..200 {
-        let all: Vec<ReportCase> = reports(&mut rng)
+        let all: Vec<ScriptedReport> = random_reports(&mut rng)
             .into_iter()
             .filter(|n| n.source_version.priority == SourcePriority::Directory)
             .collect();
@@ -106,7 +106,7 @@
         let whole = view.full_list(SourcePriority::Directory).map(|(s, t)| (s.epoch, s.version, t));
         let rate = pebbleturn::membership::staleness::ChangeRate::NONE;
         let stored = Snapshot {
-            written: NOON,
+            written: START_TIME,
             last_confirmed: None,
             full_list: whole,
             pruned_up_to: None,
@@ -125,13 +125,13 @@
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let (mut undone, mut stayed) = (0, 0);
     for _ in 0..400 {
-        let all = reports(&mut rng);
-        let mut order: Vec<&ReportCase> =
+        let all = random_reports(&mut rng);
+        let mut order: Vec<&ScriptedReport> =
             all.iter().filter(|n| n.source_version.priority == SourcePriority::Directory).collect();
         shuffle(&mut rng, &mut order);
         for n in 0..6 {
             let id = format!("s-{n}");
-            let says = |news: &ReportCase, ready: bool| {
+            let says = |news: &ScriptedReport, ready: bool| {
                 let mut of = news.facts.iter().filter(|f| f.id == id);
                 of.any(|f| (f.state == NodeState::Ready) == ready)
             };
--- a/tests/membership_registry/snapshots.rs
+++ b/tests/membership_registry/snapshots.rs
@@ -10,40 +10,44 @@
 
 #[test]
 fn a_drain_is_stored_at_once_and_survives_restarts() {
-    let mut b = Fixture::new();
-    b.directory(&eight(41), true, NOON);
-    assert!(b.registry.take_snapshot(NOON).is_some());
-    assert!(b.registry.take_snapshot(NOON + 10 * S).is_none(), "nothing new");
-    let later = NOON + 10 * S;
-    b.directory(&list(42, false, vec![server(3, NodeState::Terminating, 0)]), false, later);
-    let stored = b.registry.take_snapshot(later).expect("updates are stored at once");
+    let mut fixture = Fixture::new();
+    fixture.discovery_update(&eight_ready(41), true, START_TIME);
+    assert!(fixture.registry.take_snapshot(START_TIME).is_some());
+    assert!(fixture.registry.take_snapshot(START_TIME + 10 * S).is_none(), "nothing new");
+    let later = START_TIME + 10 * S;
+    fixture.discovery_update(&list(42, false, vec![endpoint(3, NodeState::Terminating, 0)]), false, later);
+    let stored = fixture.registry.take_snapshot(later).expect("updates are stored at once");
     assert!(
-        b.registry.take_snapshot(later + 40 * S).is_some(),
+        fixture.registry.take_snapshot(later + 40 * S).is_some(),
         "that the list still holds is news after a while"
     );
     let back = snapshot::decode(&snapshot::encode(&stored).unwrap()).unwrap();
     // Over a second restart too, and beside an older generation.
-    let b = Fixture::from(&[&snapshot_at(&eight(41), NOON), &back], later + S);
-    let again = b.registry.snapshot(later + S);
-    let b = Fixture::from(&[&again, &snapshot_at(&eight(41), NOON)], later + 2 * S);
-    assert!(!b.ready().contains(&"s-3") && b.ready().len() == 7);
+    let fixture = Fixture::restored(&[&snapshot_at(&eight_ready(41), START_TIME), &back], later + S);
+    let again = fixture.registry.snapshot(later + S);
+    let fixture = Fixture::restored(&[&again, &snapshot_at(&eight_ready(41), START_TIME)], later + 2 * S);
+    assert!(!fixture.active_ids().contains(&"s-3") && fixture.active_ids().len() == 7);
 }
 
 #[test]
 fn snapshots_are_rate_limited_under_frequent_updates() {
-    let mut b = Fixture::new();
+    let mut fixture = Fixture::new();
     let mut writes = 0;
     for n in 0..1000 {
-        let now = NOON + n * S / 100;
-        b.directory(&list(1 + n, false, vec![server(n as u32 % 8, NodeState::Ready, 0)]), n == 0, now);
-        writes += usize::from(b.registry.take_snapshot(now).is_some());
+        let now = START_TIME + n * S / 100;
+        fixture.discovery_update(
+            &list(1 + n, false, vec![endpoint(n as u32 % 8, NodeState::Ready, 0)]),
+            n == 0,
+            now,
+        );
+        writes += usize::from(fixture.registry.take_snapshot(now).is_some());
     }
     assert!((15..=21).contains(&writes), "{writes} writes in 10 s");
 }
 
 #[test]
 fn truncated_and_corrupt_snapshots_are_rejected() {
-    let bytes = snapshot::encode(&snapshot_at(&eight(41), NOON)).unwrap();
+    let bytes = snapshot::encode(&snapshot_at(&eight_ready(41), START_TIME)).unwrap();
     assert!(snapshot::decode(&bytes).is_ok());
     for n in 0..bytes.len() {
         assert!(snapshot::decode(&bytes[..n]).is_err(), "cut at {n}");
@@ -68,33 +72,33 @@
 
 #[test]
 fn removed_nodes_do_not_accumulate() {
-    let mut b = Fixture::new();
-    b.directory(&eight(1), true, NOON);
+    let mut fixture = Fixture::new();
+    fixture.discovery_update(&eight_ready(1), true, START_TIME);
     let (mut most, mut largest) = (0, 0);
     for n in 0..2000u64 {
-        let now = NOON + n * S;
+        let now = START_TIME + n * S;
         let id = |n: u64| format!("new-{n}");
-        let old = Endpoint { id: id(n.saturating_sub(3)), ..server(5, NodeState::Gone, 0) };
+        let old = Endpoint { id: id(n.saturating_sub(3)), ..endpoint(5, NodeState::Gone, 0) };
         let new = Endpoint {
             id: id(n),
             addr: format!("127.1.{}.{}:80", n / 250, n % 250),
-            ..server(5, NodeState::Ready, 0)
+            ..endpoint(5, NodeState::Ready, 0)
         };
-        b.directory(&list(2 + n, false, vec![old, new]), false, now);
+        fixture.discovery_update(&list(2 + n, false, vec![old, new]), false, now);
         if n > 1000 && n % 100 == 0 {
-            let stored = b.registry.snapshot(now);
+            let stored = fixture.registry.snapshot(now);
             most = most.max(stored.nodes.len());
             largest = largest.max(snapshot::encode(&stored).unwrap().len());
         }
-        assert!(b.announced.len() <= 12);
+        assert!(fixture.announced.len() <= 12);
     }
     // A node that is gone is held as two facts at most: that it was there, and that it is gone.
     assert!(most <= 3 * MAX_GONE_NODES && largest < 1 << 20, "{most} facts, {largest} bytes");
     // One that was forgotten does not come back by what is older than that.
-    b.registry.add_configured(
-        &list(2, false, vec![Endpoint { id: "new-1".into(), ..server(5, NodeState::Ready, 0) }]),
-        NOON + HOUR,
+    fixture.registry.add_configured(
+        &list(2, false, vec![Endpoint { id: "new-1".into(), ..endpoint(5, NodeState::Ready, 0) }]),
+        START_TIME + HOUR,
     );
-    b.collect_changes();
-    assert!(b.find("new-1").is_none());
+    fixture.collect_changes();
+    assert!(fixture.find("new-1").is_none());
 }
--- a/tests/membership_registry/start_stamps.rs
+++ b/tests/membership_registry/start_stamps.rs
@@ -8,59 +8,59 @@
 use pebbleturn::membership::NodeState;
 
 /// Longest time for which a start that was just learned may be believed to be past.
-const MOST_BELIEVED: Nanos = 2 * S;
+const MAX_START_AGE: Nanos = 2 * S;
 
 /// A list in which node 3 started at this time by the right clock.
 fn with_start(version: u64, started: Nanos) -> pebbleturn::membership::endpoint_list::EndpointList {
-    list(version, false, vec![server(3, NodeState::Ready, started / 1_000_000)])
+    list(version, false, vec![endpoint(3, NodeState::Ready, started / 1_000_000)])
 }
 
 /// When node 3 started, as it is announced.
-fn announced_start(b: &Fixture) -> Option<Nanos> {
-    b.find("s-3").unwrap().entry.started
+fn announced_start(fixture: &Fixture) -> Option<Nanos> {
+    fixture.find("s-3").unwrap().entry.started
 }
 
-/// The broker's clock shows NOON when the right time is `NOON - lead`.
+/// The broker's clock shows START_TIME when the right time is `START_TIME - lead`.
 #[test]
 fn a_start_that_is_reported_live_is_recent_whatever_the_clock_says() {
     for lead in [0, 5, 30, 3600, -5, -30, -3600_i64] {
         let right = |by_broker: Nanos| by_broker.checked_add_signed(-lead * S as i64).unwrap();
-        let mut b = Fixture::new();
-        b.directory(&eight(1), true, NOON);
-        let learned = NOON + 60 * S;
-        b.directory(&with_start(2, right(learned - S)), false, learned);
-        let started = announced_start(&b).expect("it has started");
-        assert!((learned - MOST_BELIEVED..=learned).contains(&started), "{lead} s ahead: {started}");
+        let mut fixture = Fixture::new();
+        fixture.discovery_update(&eight_ready(1), true, START_TIME);
+        let learned = START_TIME + 60 * S;
+        fixture.discovery_update(&with_start(2, right(learned - S)), false, learned);
+        let started = announced_start(&fixture).expect("it has started");
+        assert!((learned - MAX_START_AGE..=learned).contains(&started), "{lead} s ahead: {started}");
         // The same stamp later is the same start.
-        b.directory(&with_start(3, right(learned - S)), false, learned + 5 * S);
-        assert_eq!(announced_start(&b), Some(started), "{lead} s ahead");
+        fixture.discovery_update(&with_start(3, right(learned - S)), false, learned + 5 * S);
+        assert_eq!(announced_start(&fixture), Some(started), "{lead} s ahead");
     }
 }
 
 /// With the right clock the stamp holds to the millisecond.
 #[test]
 fn a_stamp_that_agrees_with_the_clock_is_used() {
-    let mut b = Fixture::new();
-    b.directory(&eight(1), true, NOON);
-    b.directory(&with_start(2, NOON + 9 * S), false, NOON + 10 * S);
-    assert_eq!(announced_start(&b), Some(NOON + 9 * S));
+    let mut fixture = Fixture::new();
+    fixture.discovery_update(&eight_ready(1), true, START_TIME);
+    fixture.discovery_update(&with_start(2, START_TIME + 9 * S), false, START_TIME + 10 * S);
+    assert_eq!(announced_start(&fixture), Some(START_TIME + 9 * S));
 }
 
 /// A machine's clock may have gone back between two starts of a node.
 #[test]
 fn a_stamp_that_goes_back_is_a_new_start() {
-    let mut b = Fixture::new();
-    b.directory(&eight(1), true, NOON);
-    b.directory(&with_start(2, NOON + 9 * S), false, NOON + 10 * S);
-    b.directory(&with_start(3, NOON - HOUR), false, NOON + 30 * S);
-    assert_eq!(announced_start(&b), Some(NOON + 28 * S));
+    let mut fixture = Fixture::new();
+    fixture.discovery_update(&eight_ready(1), true, START_TIME);
+    fixture.discovery_update(&with_start(2, START_TIME + 9 * S), false, START_TIME + 10 * S);
+    fixture.discovery_update(&with_start(3, START_TIME - HOUR), false, START_TIME + 30 * S);
+    assert_eq!(announced_start(&fixture), Some(START_TIME + 28 * S));
 }
 
 /// What a broker finds at its own start has not just happened: its stamps are all that tells of it.
 #[test]
 fn stamps_of_the_first_list_are_used_as_they_are() {
-    let mut b = Fixture::new();
-    b.registry.add_configured(&list(1, true, vec![server(3, NodeState::Ready, 7)]), NOON);
-    b.directory(&with_start(2, NOON - 10 * S), true, NOON + S);
-    assert_eq!(announced_start(&b), Some(NOON - 10 * S));
+    let mut fixture = Fixture::new();
+    fixture.registry.add_configured(&list(1, true, vec![endpoint(3, NodeState::Ready, 7)]), START_TIME);
+    fixture.discovery_update(&with_start(2, START_TIME - 10 * S), true, START_TIME + S);
+    assert_eq!(announced_start(&fixture), Some(START_TIME - 10 * S));
 }
