--- a/tests/membership_registry/fixture.rs
+++ b/tests/membership_registry/fixture.rs
@@ -1,4 +1,4 @@
-//! A registry driven by scripted reports and outcomes, with time as an argument.
+//! A registry driven by scripted reports and attempt outcomes, with the time as an argument.
 
 use pebbleturn::membership::endpoint_list::{Endpoint, EndpointList};
 use pebbleturn::membership::snapshot::Snapshot;
@@ -8,7 +8,7 @@
 
 pub const S: Nanos = 1_000_000_000;
 pub const HOUR: Nanos = 3600 * S;
-/// A time of day for tests: long after the epoch.
+/// Unix time at which the tests start, ns: long after the epoch.
 pub const START_TIME: Nanos = 1_000_000 * S;
 
 pub fn settings() -> RegistrySettings {
@@ -40,11 +40,12 @@
     EndpointList { version, full, as_of_ms: None, servers }
 }
 
+/// A full list of eight ready nodes.
 pub fn eight_ready(version: u64) -> EndpointList {
     list(version, true, (0..8).map(|n| endpoint(n, NodeState::Ready, 0)).collect())
 }
 
-/// A registry and what the exchange has been announced by it.
+/// A registry, and the last change announced for each replica that is not removed.
 pub struct Fixture {
     pub registry: Registry,
     pub announced: BTreeMap<ReplicaId, NodeChange>,
@@ -55,6 +56,7 @@
         Fixture { registry: Registry::new(settings()), announced: BTreeMap::new() }
     }
 
+    /// A fixture whose registry is restored from these snapshots.
     pub fn restored(stored: &[&Snapshot], now: Nanos) -> Fixture {
         let mut fixture = Fixture::new();
         fixture.registry.restore(&stored.iter().map(|s| (*s).clone()).collect::<Vec<_>>(), now);
@@ -63,10 +65,10 @@
     }
 
     pub fn collect_changes(&mut self) {
-        for c in self.registry.take_changes().unwrap_or_default() {
-            match c.entry.state {
-                ReplicaState::Removed => self.announced.remove(&c.entry.replica),
-                _ => self.announced.insert(c.entry.replica, c),
+        for change in self.registry.take_changes().unwrap_or_default() {
+            match change.entry.state {
+                ReplicaState::Removed => self.announced.remove(&change.entry.replica),
+                _ => self.announced.insert(change.entry.replica, change),
             };
         }
     }
@@ -83,8 +85,9 @@
         self.collect_changes();
     }
 
+    /// Handles all deadlines up to `now`.
     pub fn advance_to(&mut self, now: Nanos) {
-        while let Some(due) = self.registry.next_deadline().filter(|t| *t <= now) {
+        while let Some(due) = self.registry.next_deadline().filter(|due| *due <= now) {
             self.registry.tick(due);
         }
         self.registry.tick(now);
@@ -95,7 +98,7 @@
         self.announced.values().find(|c| c.id == id)
     }
 
-    /// Ids that get new work.
+    /// Ids of the nodes that get new work.
     pub fn active_ids(&self) -> Vec<&str> {
         let mut ids: Vec<&str> = self
             .announced
@@ -107,16 +110,17 @@
         ids
     }
 
-    /// Holders of each of the four partitions that get new work.
+    /// Number of holders of each of the four partitions that get new work.
     pub fn active_holders(&self) -> [usize; 4] {
-        let at = |p: u32| {
-            let holds = |c: &&NodeChange| (c.entry.cell + 4 - p) % 4 < 2;
+        let holders_of = |partition: u32| {
+            let holds = |c: &&NodeChange| (c.entry.cell + 4 - partition) % 4 < 2;
             self.announced.values().filter(|c| c.entry.state == ReplicaState::Active).filter(holds).count()
         };
-        [at(0), at(1), at(2), at(3)]
+        [holders_of(0), holders_of(1), holders_of(2), holders_of(3)]
     }
 }
 
+/// A snapshot of a registry that received this list then.
 pub fn snapshot_at(list: &EndpointList, now: Nanos) -> Snapshot {
     let mut fixture = Fixture::new();
     fixture.discovery_update(list, true, now);
--- a/tests/membership_registry/main.rs
+++ b/tests/membership_registry/main.rs
@@ -1,4 +1,5 @@
-//! The registry by scripted reports: every hard case of the design note, with time as an argument.
+//! Tests of the registry with scripted reports: contradicting, reordered, stale and repeated ones. The time
+//! is an argument, so no test waits.
 
 mod fixture;
 mod merging;
--- a/tests/membership_registry/snapshots.rs
+++ b/tests/membership_registry/snapshots.rs
@@ -13,17 +13,17 @@
     let mut fixture = Fixture::new();
     fixture.discovery_update(&eight_ready(41), true, START_TIME);
     assert!(fixture.registry.take_snapshot(START_TIME).is_some());
-    assert!(fixture.registry.take_snapshot(START_TIME + 10 * S).is_none(), "nothing new");
+    assert!(fixture.registry.take_snapshot(START_TIME + 10 * S).is_none(), "no new update");
     let later = START_TIME + 10 * S;
     fixture.discovery_update(&list(42, false, vec![endpoint(3, NodeState::Terminating, 0)]), false, later);
     let stored = fixture.registry.take_snapshot(later).expect("updates are stored at once");
     assert!(
         fixture.registry.take_snapshot(later + 40 * S).is_some(),
-        "that the list still holds is news after a while"
+        "the confirmation time is stored again after a while"
     );
-    let back = snapshot::decode(&snapshot::encode(&stored).unwrap()).unwrap();
-    // Over a second restart too, and beside an older generation.
-    let fixture = Fixture::restored(&[&snapshot_at(&eight_ready(41), START_TIME), &back], later + S);
+    let decoded = snapshot::decode(&snapshot::encode(&stored).unwrap()).unwrap();
+    // The drain also survives a second restart, and an older generation restored beside the snapshot.
+    let fixture = Fixture::restored(&[&snapshot_at(&eight_ready(41), START_TIME), &decoded], later + S);
     let again = fixture.registry.snapshot(later + S);
     let fixture = Fixture::restored(&[&again, &snapshot_at(&eight_ready(41), START_TIME)], later + 2 * S);
     assert!(!fixture.active_ids().contains(&"s-3") && fixture.active_ids().len() == 7);
@@ -50,13 +50,13 @@
     let bytes = snapshot::encode(&snapshot_at(&eight_ready(41), START_TIME)).unwrap();
     assert!(snapshot::decode(&bytes).is_ok());
     for n in 0..bytes.len() {
-        assert!(snapshot::decode(&bytes[..n]).is_err(), "cut at {n}");
+        assert!(snapshot::decode(&bytes[..n]).is_err(), "truncated to {n} bytes");
     }
     let mut rng = Pcg64Mcg::seed_from_u64(4);
     for n in 0..bytes.len() {
-        let mut bad = bytes.clone();
-        bad[n] ^= 1 << (rng.next_u64() % 8);
-        assert!(snapshot::decode(&bad).is_err(), "changed at {n}");
+        let mut corrupt = bytes.clone();
+        corrupt[n] ^= 1 << (rng.next_u64() % 8);
+        assert!(snapshot::decode(&corrupt).is_err(), "bit flipped in byte {n}");
     }
     assert_eq!(snapshot::decode(b""), Err(SnapshotError::Empty));
     assert_eq!(snapshot::decode(b"pebbleturn-roster 2 0 00000000\n"), Err(SnapshotError::Version(2)));
@@ -74,7 +74,7 @@
 fn removed_nodes_do_not_accumulate() {
     let mut fixture = Fixture::new();
     fixture.discovery_update(&eight_ready(1), true, START_TIME);
-    let (mut most, mut largest) = (0, 0);
+    let (mut most_records, mut largest) = (0, 0);
     for n in 0..2000u64 {
         let now = START_TIME + n * S;
         let id = |n: u64| format!("new-{n}");
@@ -87,14 +87,17 @@
         fixture.discovery_update(&list(2 + n, false, vec![old, new]), false, now);
         if n > 1000 && n % 100 == 0 {
             let stored = fixture.registry.snapshot(now);
-            most = most.max(stored.nodes.len());
+            most_records = most_records.max(stored.nodes.len());
             largest = largest.max(snapshot::encode(&stored).unwrap().len());
         }
         assert!(fixture.announced.len() <= 12);
     }
-    // A node that is gone is held as two facts at most: that it was there, and that it is gone.
-    assert!(most <= 3 * MAX_GONE_NODES && largest < 1 << 20, "{most} facts, {largest} bytes");
-    // One that was forgotten does not come back by what is older than that.
+    // A node that is gone has at most two records: that it was ready, and that it is gone.
+    assert!(
+        most_records <= 3 * MAX_GONE_NODES && largest < 1 << 20,
+        "{most_records} records, {largest} bytes"
+    );
+    // A record as old as the pruned ones does not bring back a pruned node.
     fixture.registry.add_configured(
         &list(2, false, vec![Endpoint { id: "new-1".into(), ..endpoint(5, NodeState::Ready, 0) }]),
         START_TIME + HOUR,
--- a/tests/membership_registry/sources.rs
+++ b/tests/membership_registry/sources.rs
@@ -1,4 +1,4 @@
-//! Sources that contradict each other, and what is announced of them.
+//! Sources that contradict each other, and the changes that are announced.
 
 use crate::fixture::*;
 use pebbleturn::membership::NodeState;
@@ -24,7 +24,7 @@
     );
     assert!(!fixture.active_ids().contains(&"s-3") && fixture.active_ids().len() == 7);
     assert_eq!(fixture.registry.version(), 43);
-    // Newer word brings it back.
+    // An update with a newer version returns it to service.
     fixture.discovery_update(
         &list(44, false, vec![endpoint(3, NodeState::Ready, 0)]),
         false,
@@ -49,14 +49,14 @@
     fixture.discovery_update(&fresh, true, START_TIME + 10 * S);
     assert_eq!(fixture.active_ids(), ["s-0", "s-1", "s-2", "s-4", "s-6", "s-7", "s-9"]);
     assert_eq!((fixture.registry.version(), fixture.registry.epoch()), (2, 1));
-    // From there its changes count, small as their numbers are.
+    // Changes after the reset are merged although their versions are lower than those before it.
     fixture.discovery_update(
         &list(3, false, vec![endpoint(3, NodeState::Ready, 0)]),
         false,
         START_TIME + 11 * S,
     );
     assert!(fixture.active_ids().contains(&"s-3"));
-    // A start after the drain was learnt is a new life, whoever tells it.
+    // A process start after the drain was learned is a new process, even in the first list after a reset.
     fixture.discovery_update(
         &list(4, false, vec![endpoint(4, NodeState::Gone, 0)]),
         false,
@@ -86,7 +86,7 @@
     after.registry.add_configured(&eight_ready(41), START_TIME + 5 * S);
     after.collect_changes();
     assert_eq!(after.active_ids(), ["s-0", "s-1", "s-2", "s-5", "s-6", "s-7"]);
-    // Nor does one with a high number from before discovery counted after_reset.
+    // Nor does a list with a higher version from before a version reset.
     let mut after_reset = Fixture::new();
     after_reset.discovery_update(&eight_ready(41), true, START_TIME);
     after_reset.discovery_update(&eight_ready(2), true, START_TIME + S);
@@ -111,7 +111,7 @@
     fixture.discovery_update(&list(2, false, vec![moved]), false, START_TIME + S);
     let after = fixture.find("s-2").unwrap();
     assert!(after.entry.replica != before && after.addr.unwrap().to_string() == "127.0.0.99:80");
-    assert_eq!(fixture.announced.len(), 8, "the old place is gone");
+    assert_eq!(fixture.announced.len(), 8, "the old replica is removed");
 }
 
 #[test]
@@ -121,7 +121,7 @@
     let new = Endpoint { id: "s-20".into(), ..endpoint(2, NodeState::Ready, 0) };
     fixture.discovery_update(&list(2, false, vec![new]), false, START_TIME + S);
     assert!(fixture.active_ids().contains(&"s-20") && !fixture.active_ids().contains(&"s-2"));
-    // Once the usurper is gone the other has its address again.
+    // When the new node is gone, the old one gets its address back.
     let gone = Endpoint { id: "s-20".into(), ..endpoint(2, NodeState::Gone, 0) };
     fixture.discovery_update(&list(3, false, vec![gone]), false, START_TIME + 2 * S);
     assert!(fixture.active_ids().contains(&"s-2") && fixture.active_ids().len() == 8);
@@ -144,7 +144,7 @@
     let future = (START_TIME + HOUR) / 1_000_000;
     fixture.discovery_update(&list(1, true, vec![endpoint(0, NodeState::Ready, future)]), true, START_TIME);
     assert_eq!(fixture.find("s-0").unwrap().entry.started, Some(START_TIME));
-    // The same fact later does not make it cold after_reset.
+    // The same record received later does not announce a newer start.
     fixture.discovery_update(
         &list(2, true, vec![endpoint(0, NodeState::Ready, future)]),
         true,
@@ -166,14 +166,15 @@
 #[test]
 fn operator_nodes_are_added_drained_and_removed_and_discovery_overrides_them() {
     let mut fixture = Fixture::new();
-    let facts =
-        |ns: &[(u32, NodeState)]| ns.iter().map(|(n, s)| endpoint(*n, *s, 0).record()).collect::<Vec<_>>();
-    fixture.registry.set_operator_nodes(facts(&[(0, NodeState::Ready), (1, NodeState::Ready)]), START_TIME);
+    let records = |nodes: &[(u32, NodeState)]| {
+        nodes.iter().map(|(n, state)| endpoint(*n, *state, 0).record()).collect::<Vec<_>>()
+    };
+    fixture.registry.set_operator_nodes(records(&[(0, NodeState::Ready), (1, NodeState::Ready)]), START_TIME);
     fixture.collect_changes();
     assert_eq!(fixture.active_ids(), ["s-0", "s-1"]);
     fixture
         .registry
-        .set_operator_nodes(facts(&[(1, NodeState::Terminating), (2, NodeState::Ready)]), START_TIME + S);
+        .set_operator_nodes(records(&[(1, NodeState::Terminating), (2, NodeState::Ready)]), START_TIME + S);
     fixture.collect_changes();
     assert_eq!(fixture.active_ids(), ["s-2"]);
     fixture.discovery_update(
@@ -182,8 +183,8 @@
         START_TIME + 2 * S,
     );
     assert!(fixture.active_ids().is_empty());
-    // Reading the file again does not bring it back.
-    fixture.registry.set_operator_nodes(facts(&[(2, NodeState::Ready)]), START_TIME + 3 * S);
+    // Reading the file again does not return it to service.
+    fixture.registry.set_operator_nodes(records(&[(2, NodeState::Ready)]), START_TIME + 3 * S);
     fixture.collect_changes();
     assert!(fixture.active_ids().is_empty());
 }
@@ -202,24 +203,24 @@
             [NodeState::Ready, NodeState::Ready, NodeState::Ready, NodeState::Terminating, NodeState::Gone]
                 [below(5) as usize];
         let started = if below(2) == 0 { 0 } else { (now - below(20) * S) / 1_000_000 };
-        // Now and then a node moves, changes its cell, or claims another's address.
+        // Some updates move a node, change its cell, or make it claim another node's address.
         let addr = if below(8) == 0 { below(10) as u32 } else { n };
-        let line = Endpoint {
+        let changed = Endpoint {
             addr: format!("127.0.0.{}:80", addr + 1),
             cell: (n + u32::from(below(9) == 0)) % 4,
             ..endpoint(n, state, started)
         };
-        fixture.registry.on_discovery_update(&list(version, false, vec![line]), false, now);
+        fixture.registry.on_discovery_update(&list(version, false, vec![changed]), false, now);
         announced += fixture.registry.take_changes().unwrap().len();
-        // An operator's file without nodes changes nothing, and has all looked through.
+        // An operator's file without nodes reconciles all nodes, which must announce nothing more.
         fixture.registry.set_operator_nodes(vec![], now);
         assert_eq!(fixture.registry.take_changes(), None, "at version {version}");
     }
     assert!(announced > 1000, "{announced}");
 }
 
-/// An instance of discovery that lags behind answers with an older full list: nodes that a newer one left out stay gone,
-/// until they start anew or a change names them.
+/// An instance of discovery that lags behind answers with an older full list. Nodes that a newer list omitted
+/// stay gone until they restart or a later change names them.
 #[test]
 fn a_version_reset_brings_back_no_node_that_a_newer_list_omitted() {
     let mut fixture = Fixture::new();
@@ -232,12 +233,12 @@
     fixture.registry.watch_lost();
     fixture.discovery_update(&eight_ready(41), true, START_TIME + 2 * S);
     assert_eq!(fixture.active_ids(), ["s-0", "s-1", "s-2", "s-5", "s-6", "s-7"]);
-    // Nor does it after a restart of this process, from what was stored.
+    // The same holds after a restart of this process from the stored snapshot.
     let stored = fixture.registry.snapshot(START_TIME + 3 * S);
     let mut after = Fixture::restored(&[&stored], START_TIME + 5 * S);
     after.discovery_update(&eight_ready(40), true, START_TIME + 6 * S);
     assert_eq!(after.active_ids(), ["s-0", "s-1", "s-2", "s-5", "s-6", "s-7"]);
-    // A change names one, the other starts anew.
+    // A change names one of them, and the other restarts.
     fixture.discovery_update(
         &list(43, false, vec![endpoint(3, NodeState::Ready, 0)]),
         false,
@@ -252,7 +253,7 @@
     assert_eq!(fixture.active_ids().len(), 8);
 }
 
-/// Changes of a discovery that counts anew count, small as their numbers are, and say nothing of other nodes.
+/// After a version reset, changes with lower versions than before are merged, and other nodes stay unchanged.
 #[test]
 fn changes_after_a_version_reset_are_merged_without_a_full_list() {
     let mut fixture = Fixture::new();
@@ -271,8 +272,8 @@
     assert_eq!(fixture.active_ids(), ["s-0", "s-1", "s-2", "s-5", "s-6", "s-7"]);
 }
 
-/// The clock of the process that learned of a drain was behind, so that the last start seems to come after it. An older
-/// report of that start does not undo the drain.
+/// The clock of the process that learned of a drain was one hour behind, so the node's last start appears to
+/// be later than the drain. An older report of that start does not undo the drain.
 #[test]
 fn an_older_report_of_a_start_undoes_no_drain_learned_by_a_slow_clock() {
     let started = (START_TIME - 100 * S) / 1_000_000;
--- a/tests/membership_registry/trust.rs
+++ b/tests/membership_registry/trust.rs
@@ -8,8 +8,8 @@
 fn a_snapshot_dated_in_the_future_is_trusted_but_not_confirmed() {
     let stored = snapshot_at(&eight_ready(1), START_TIME + HOUR);
     let fixture = Fixture::restored(&[&stored], START_TIME);
-    let notes = fixture.registry.statuses(START_TIME);
-    assert!(notes.iter().all(|n| n.trust > 0.9 && n.trust < 1.0), "{notes:?}");
+    let statuses = fixture.registry.statuses(START_TIME);
+    assert!(statuses.iter().all(|node| node.trust > 0.9 && node.trust < 1.0), "{statuses:?}");
     assert!(fixture.active_holders().iter().all(|n| *n >= 2));
 }
 
@@ -32,7 +32,7 @@
         before = (n, start);
     }
     assert!(before.0 < 8 && before.1 > 13 * S, "{before:?}");
-    // In the end all are tried.
+    // After a while all nodes are admitted.
     let mut fixture = Fixture::restored(&[&stored], START_TIME + 240 * HOUR);
     fixture.advance_to(START_TIME + 240 * HOUR + 3 * S);
     assert_eq!(fixture.active_ids().len(), 8);
@@ -50,12 +50,12 @@
             fixture.end_attempt("s-0", Outcome::ConnectFailed, now + 3 * S);
         }
         assert!(!fixture.active_ids().contains(&"s-0"));
-        // It is tried again after a while, and a good answer confirms it.
+        // It is admitted again after the ejection, and a good answer confirms it.
         fixture.advance_to(now + 5 * S);
         assert!(fixture.active_ids().contains(&"s-0"));
         fixture.end_attempt("s-0", Outcome::Ok, now + 5 * S);
         (0..5).for_each(|_| fixture.end_attempt("s-0", Outcome::ConnectFailed, now + 6 * S));
-        assert!(fixture.active_ids().contains(&"s-0"), "the decisions alone mind who is confirmed");
+        assert!(fixture.active_ids().contains(&"s-0"), "failures do not eject a confirmed node");
     }
     let mut fixture = Fixture::new();
     fixture.discovery_update(&eight_ready(1), true, START_TIME);
@@ -65,7 +65,8 @@
 
 #[test]
 fn an_ejection_does_not_count_as_an_answer_of_discovery() {
-    // It used to end the back-off: a broker whose nodes came and went asked twice a second for as long as that lasted.
+    // An ejection used to reset the back-off, so that a broker whose nodes came and went polled discovery
+    // twice a second for as long as that lasted.
     let stored = snapshot_at(&eight_ready(1), START_TIME);
     let now = START_TIME + 24 * HOUR;
     let mut fixture = Fixture::restored(&[&stored], now);
@@ -106,9 +107,9 @@
     let mut fixture = Fixture::restored(&[&stored], now);
     assert!(fixture.active_ids().len() < 8 && fixture.registry.may_gain_nodes(now));
     let started = (now - 5 * S) / 1_000_000;
-    let news =
+    let update =
         list(90, true, vec![endpoint(1, NodeState::Ready, started), endpoint(10, NodeState::Ready, 0)]);
-    fixture.discovery_update(&news, true, now + S);
+    fixture.discovery_update(&update, true, now + S);
     assert_eq!(fixture.active_ids(), ["s-1", "s-10"]);
     assert!(fixture.find("s-1").unwrap().entry.started.unwrap() >= now - 5 * S);
     assert!(!fixture.registry.may_gain_nodes(now + S));
@@ -127,7 +128,7 @@
 fn the_change_rate_is_learned_and_stored() {
     let mut fixture = Fixture::new();
     fixture.discovery_update(&eight_ready(1), true, START_TIME);
-    // For an hour, a node restarts each minute.
+    // For an hour, one node restarts each minute.
     for n in 1..=60 {
         let now = START_TIME + n * 60 * S;
         fixture.discovery_update(
@@ -138,10 +139,14 @@
     }
     let end = START_TIME + HOUR;
     let stored = fixture.registry.snapshot(end);
-    let busy = Fixture::restored(&[&stored], end + 600 * S).registry.statuses(end + 600 * S)[0].trust;
-    let calm = Fixture::restored(&[&snapshot_at(&eight_ready(1), end)], end + 600 * S)
+    let trust_after_changes =
+        Fixture::restored(&[&stored], end + 600 * S).registry.statuses(end + 600 * S)[0].trust;
+    let trust_without_changes = Fixture::restored(&[&snapshot_at(&eight_ready(1), end)], end + 600 * S)
         .registry
         .statuses(end + 600 * S)[0]
         .trust;
-    assert!(busy < calm - 0.05, "{busy} {calm}");
+    assert!(
+        trust_after_changes < trust_without_changes - 0.05,
+        "{trust_after_changes} {trust_without_changes}"
+    );
 }
