--- a/src/membership/poll_backoff.rs
+++ b/src/membership/poll_backoff.rs
@@ -1,17 +1,17 @@
 //! Exponential backoff with jitter between polls for the endpoint list.
 //!
-//! Brokers that are restarted together must not poll together: each waits a random share of a bound that
-//! doubles, so that a discovery service which has just come back sees their polls spread over that bound
-//! (full jitter).
+//! Brokers that restart together must not poll in step. Each waits a random share of a bound that doubles
+//! with every failure, so that polls to a discovery service that has just recovered are spread over that
+//! bound (full jitter with a minimum wait).
 
 use crate::api::Nanos;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// Least share of the bound that is waited, so that a single broker does not poll at once either.
+/// Minimum share of the bound that is waited, so that no broker polls again immediately.
 const MIN_BOUND_SHARE: f64 = 0.25;
 
-/// The backoff between polls.
+/// Backoff between polls.
 #[derive(Clone, Debug)]
 pub struct PollBackoff {
     rng: Pcg64Mcg,
@@ -28,8 +28,8 @@
         PollBackoff { rng: Pcg64Mcg::seed_from_u64(seed), initial, max: max.max(initial), bound: initial }
     }
 
-    /// Records that a poll failed, and returns the time until the next one, ns: a quarter of the bound at
-    /// least.
+    /// Records that a poll failed and returns the wait until the next one, ns: at least a quarter of the
+    /// bound.
     pub fn on_failure(&mut self) -> Nanos {
         let uniform = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         let wait = self.bound as f64 * (MIN_BOUND_SHARE + (1.0 - MIN_BOUND_SHARE) * uniform);
@@ -37,7 +37,7 @@
         wait as Nanos
     }
 
-    /// Records that a poll was answered: the bound starts anew.
+    /// Records that a poll was answered, and resets the bound.
     pub fn on_success(&mut self) {
         self.bound = self.initial;
     }
--- a/src/membership/probation.rs
+++ b/src/membership/probation.rs
@@ -1,13 +1,14 @@
-//! Chooses which nodes are admitted, given how far each is trusted.
+//! Chooses which nodes are admitted, given the trust in the record of each.
 //!
-//! A node that is as good as confirmed is always admitted. Of the others, each partition starts with as many
-//! holders as their trust allows; one more is admitted with each step, so that all are tried in the end. A
-//! node that failed while it was unconfirmed stays ejected, unless a partition has no other holder.
+//! A node that is confirmed, or trusted as if it were, is always admitted. Of the others, each partition
+//! starts with a number of holders that depends on their mean trust; each step admits one more, so that all
+//! are eventually tried. A node that failed while unconfirmed stays ejected, unless a partition has no other
+//! holder.
 
 use super::staleness;
 
-/// How partitions are assigned: partition p is held by the nodes of the cells p, p + 1, ... modulo `cells`,
-/// `span` of them.
+/// How partitions are assigned: partition p is held by the nodes of the `span` cells p, p + 1, ... modulo
+/// `cells`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionLayout {
     /// Number of cells.
@@ -25,12 +26,12 @@
     }
 }
 
-/// The admission state of a node before the choice.
+/// The admission state of a node before [`admit`] is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Confirmed, or trusted as if it were.
     Confirmed,
-    /// Unconfirmed, and admitted already.
+    /// Unconfirmed, but already admitted.
     Admitted,
     /// Unconfirmed, and not admitted yet.
     Waiting,
@@ -43,7 +44,7 @@
 pub struct Candidate {
     /// Its cell.
     pub cell: u32,
-    /// Probability that its record still holds, from 0 to 1.
+    /// Probability that its record is still valid, from 0 to 1.
     pub trust: f64,
     /// Its admission state.
     pub admission: Admission,
@@ -66,8 +67,8 @@
     }
 }
 
-/// Tells for each candidate whether it is admitted, `steps` steps after the first unconfirmed one was seen.
-/// Where there is a choice, candidates at the front of the list are admitted first.
+/// Returns for each candidate whether it is admitted, `steps` steps after the first unconfirmed one appeared.
+/// Candidates earlier in the list take precedence.
 #[must_use]
 pub fn admit(layout: PartitionLayout, candidates: &[Candidate], steps: usize) -> Vec<bool> {
     let mut groups = vec![GroupCounts::default(); layout.cells.max(1) as usize];
@@ -90,7 +91,7 @@
             layout.groups(candidate.cell).for_each(|group| groups[group].admitted += 1);
         }
     }
-    // Guards partitions against distrust: a doubtful holder is better than none.
+    // A partition must not lose all holders: a failed holder is better than none.
     let failed = |candidate: &Candidate| candidate.admission == Admission::Failed;
     for (candidate, admitted) in candidates.iter().zip(&mut chosen).filter(|(c, _)| failed(c)) {
         if layout.groups(candidate.cell).any(|group| groups[group].admitted == 0) {
