--- a/tests/membership_units/main.rs
+++ b/tests/membership_units/main.rs
@@ -1,4 +1,5 @@
-//! The parts of membership that need no registry: probation, backoff of polls, staleness.
+//! Parts of membership that need no registry: probation, poll backoff, staleness, the schedule of calls to
+//! discovery.
 
 mod poll_backoff;
 mod probation;
--- a/tests/membership_units/poll_backoff.rs
+++ b/tests/membership_units/poll_backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff of polls for the endpoint list.
+//! Backoff between polls for the endpoint list.
 
 use pebbleturn::Nanos;
 use pebbleturn::membership::poll_backoff::PollBackoff;
@@ -7,7 +7,7 @@
 
 #[test]
 fn polls_of_many_brokers_are_spread_over_the_upper_bound() {
-    // Sixty brokers that lost discovery at one moment: how many poll again within any 100 ms, later on.
+    // Sixty brokers lose discovery at the same moment. Counts their polls in any 100 ms after the first 10 s.
     let mut polls: Vec<Nanos> = Vec::new();
     for seed in 0..60 {
         let mut backoff = PollBackoff::new(500 * MS, 8000 * MS, seed);
@@ -19,7 +19,7 @@
     }
     let within = |from: Nanos| polls.iter().filter(|t| (from..from + 100 * MS).contains(t)).count();
     let worst = (100..390).map(|n| within(n * 100 * MS)).max().unwrap();
-    assert!(worst <= 10, "{worst} of 60 brokers ask within 100 ms");
+    assert!(worst <= 10, "{worst} polls of 60 brokers within 100 ms");
 }
 
 #[test]
--- a/tests/membership_units/shared_discovery.rs
+++ b/tests/membership_units/shared_discovery.rs
@@ -1,11 +1,16 @@
-//! A small fleet before one discovery, in simulated time. In an outage of discovery each broker was given four new
-//! configurations in a row, and called anew for each of them, and once more beside each call that had no answer after
-//! 0.5 s. Discovery handles calls in turn, also those that were given up: so the brokers' own calls kept it busy for
-//! seconds after its return, and what it wrote for one call of a broker reached nobody while the next ones still waited.
-//! In a staging run both calls of a broker ended in the same millisecond, again and again:
-//! `24.312 discovery watch ended reason=status 503 age_ms=505 others=1` and `24.312 ... age_ms=5 others=0`, and the
-//! list came at 27.634, 4.08 s after the watch had ended; with one call of each of the six brokers it would have been 2 s.
-//! Before the mend, 45 of these 96 days had a broker without the list 2 s after discovery had written it, for up to 6.4 s.
+//! A small fleet that shares one discovery, in simulated time.
+//!
+//! Guards against brokers that overload discovery with their own calls. Discovery processes calls in order,
+//! including abandoned ones. During an outage each broker received four new configurations in a row, started
+//! a call for each of them, and hedged each call that was unanswered after 0.5 s. These calls kept discovery
+//! busy for seconds after its return: a list written for one call of a broker reached nobody while the
+//! broker's later calls were still queued.
+//!
+//! In a staging run both calls of a broker ended in the same millisecond, repeatedly:
+//! `24.312 discovery watch ended reason=status 503 age_ms=505 others=1` and `24.312 ... age_ms=5 others=0`.
+//! The list arrived at 27.634, 4.08 s after the watch had ended; with one call of each of the six brokers it
+//! would have taken 2 s. Without the fix, in 45 of the 96 runs below a broker had no list 2 s after discovery
+//! had written it, with delays of up to 6.4 s.
 
 use pebbleturn::Nanos;
 use pebbleturn::membership::watch_schedule::{CallId, WatchAction, WatchSchedule};
@@ -15,30 +20,30 @@
 const S: Nanos = 1_000 * MS;
 const DIAL_TIMEOUT: Nanos = 250 * MS;
 const GRACE: Nanos = 2 * S;
-/// How long a call waits in discovery's queue before it is refused.
-const PATIENCE: Nanos = 2 * S;
+/// Time after which discovery refuses a queued call.
+const QUEUE_TIMEOUT: Nanos = 2 * S;
 const HEARTBEAT_INTERVAL: Nanos = 2 * S;
 
 const OUTAGE: Range<Nanos> = 1_500 * MS..7_500 * MS;
-/// All watches end once more, much later, in place of a report.
+/// All watches end again, much later, instead of delivering a list.
 const WATCHES_END: Nanos = 23_500 * MS;
 const END: Nanos = 32 * S;
-/// Brokers get their first new configuration one after the other, and three more each.
+/// Brokers receive their first new configuration one after the other, and each receives three more.
 const FIRST_RELOAD: Nanos = 6 * S;
 const BETWEEN_BROKERS: Nanos = 300 * MS;
 const BETWEEN_RELOADS: Nanos = 400 * MS;
 const RELOADS: u64 = 4;
 
-/// Whose calls end with one that discovery refuses.
+/// Which calls end when discovery refuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RefusalScope {
-    /// That call alone.
+    /// Only the refused call.
     Call,
-    /// All calls of its broker: a refusal does not tell which one it is of.
+    /// All calls of the broker: the refusal does not identify the call.
     Broker,
 }
 
-/// A call in discovery's queue, where it stays whether or not its caller waits.
+/// A call in discovery's queue, where it stays even if its caller has abandoned it.
 #[derive(Clone, Copy, Debug)]
 struct QueuedCall {
     broker: usize,
@@ -49,10 +54,10 @@
 /// A broker with its open calls.
 struct Broker {
     schedule: WatchSchedule,
-    /// With whether the call is a watch.
+    /// Open calls; the flag is set for a watch.
     open: Vec<(CallId, bool)>,
     calls: usize,
-    /// When discovery wrote a list for it, and when it received one.
+    /// When discovery wrote lists for the broker, and when the broker received lists.
     written: Vec<Nanos>,
     received: Vec<Nanos>,
 }
@@ -75,8 +80,8 @@
         self.open.iter().filter(|(_, is_watch)| *is_watch).map(|(id, _)| *id).collect()
     }
 
-    /// Longest time for which it lacked a list that discovery had written after `event`.
-    fn longest_lack(&self, event: Nanos) -> Nanos {
+    /// Time from the first list written after `event` to the first one received.
+    fn list_delay(&self, event: Nanos) -> Nanos {
         let first = |times: &[Nanos]| times.iter().find(|at| **at >= event).copied().unwrap_or(END);
         first(&self.received).saturating_sub(first(&self.written))
     }
@@ -85,11 +90,11 @@
 /// Discovery and its brokers.
 struct Fleet {
     scope: RefusalScope,
-    /// Time that discovery takes for each call.
+    /// Time that discovery takes to process a call.
     service_time: Nanos,
     brokers: Vec<Broker>,
     queue: Vec<QueuedCall>,
-    /// The call that discovery works on, and when it is done.
+    /// The call that discovery is processing, and when it finishes.
     in_service: Option<(QueuedCall, Nanos)>,
     now: Nanos,
 }
@@ -106,8 +111,8 @@
         Fleet { scope, service_time, brokers, queue: Vec::new(), in_service: None, now: 0 }
     }
 
-    /// Plays the day, a millisecond at a time.
-    fn play(mut self) -> Fleet {
+    /// Runs the simulation to its end in steps of 1 ms.
+    fn run(mut self) -> Fleet {
         while self.now < END {
             self.now += MS;
             self.reload_brokers();
@@ -125,8 +130,8 @@
     fn reload_brokers(&mut self) {
         for (n, broker) in (0..).zip(&mut self.brokers) {
             let first = FIRST_RELOAD + n * BETWEEN_BROKERS;
-            let since_first = self.now.checked_sub(first).filter(|t| t.is_multiple_of(BETWEEN_RELOADS));
-            if since_first.is_some_and(|t| t / BETWEEN_RELOADS < RELOADS) {
+            let time_since_first = self.now.checked_sub(first).filter(|t| t.is_multiple_of(BETWEEN_RELOADS));
+            if time_since_first.is_some_and(|t| t / BETWEEN_RELOADS < RELOADS) {
                 broker.schedule.restart(self.now);
             }
         }
@@ -152,7 +157,7 @@
     }
 
     fn serve_queue(&mut self) {
-        while let Some(index) = self.queue.iter().position(|call| call.at + PATIENCE <= self.now) {
+        while let Some(index) = self.queue.iter().position(|call| call.at + QUEUE_TIMEOUT <= self.now) {
             let call = self.queue.remove(index);
             self.refuse(call);
         }
@@ -171,7 +176,8 @@
         ended.for_each(|id| broker.end_call(id, self.now));
     }
 
-    /// Writes the list on the call; where that is closed, on the broker's newest one if a refusal is of all of them.
+    /// Writes the list on the call. If the call is closed and refusals apply to all calls of a broker, writes
+    /// it on the broker's newest call instead.
     fn answer(&mut self, call: QueuedCall) {
         let broker = &mut self.brokers[call.broker];
         broker.written.push(self.now);
@@ -200,7 +206,7 @@
         broker.calls += 1;
         broker.open.push((id, false));
         let call = QueuedCall { broker: n, id, at: self.now };
-        if self.is_up() && self.queue.len() as u64 * self.service_time > PATIENCE {
+        if self.is_up() && self.queue.len() as u64 * self.service_time > QUEUE_TIMEOUT {
             self.refuse(call);
         } else {
             self.queue.push(call);
@@ -208,49 +214,50 @@
     }
 }
 
-/// The longest that one call of each broker keeps discovery busy.
-const ROUND: Nanos = 1_600 * MS;
-/// A call may be refused just before its turn, and the next one waits for a turn behind one call of each broker.
-const LIST_AFTER_OUTAGE: Nanos = PATIENCE + ROUND;
-/// A call begins at once after a watch that ended, and waits for its turn.
-const LIST_AFTER_WATCH: Nanos = ROUND + 200 * MS;
-/// Fleets whose calls, one for each broker, keep discovery busy for about that time.
+/// Longest time that one call of each broker keeps discovery busy.
+const ROUND_TIME: Nanos = 1_600 * MS;
+/// A call may be refused just before its turn; the next one then waits behind one call of each broker.
+const LIST_AFTER_OUTAGE: Nanos = QUEUE_TIMEOUT + ROUND_TIME;
+/// A call begins immediately after a watch has ended, and waits for its turn.
+const LIST_AFTER_WATCH: Nanos = ROUND_TIME + 200 * MS;
+/// Size and service time of fleets whose calls, one of each broker, keep discovery busy for about
+/// [`ROUND_TIME`].
 const FLEETS: [(u32, Nanos); 4] = [(3, 400 * MS), (6, 250 * MS), (12, 130 * MS), (16, 95 * MS)];
 const SEEDS: Range<u64> = 0..12;
 
-fn days() -> impl Iterator<Item = (Fleet, String)> {
+fn runs() -> impl Iterator<Item = (Fleet, String)> {
     let scopes = [RefusalScope::Call, RefusalScope::Broker];
     FLEETS.into_iter().flat_map(move |(size, service_time)| {
         scopes.into_iter().flat_map(move |scope| {
             SEEDS.map(move |seed| {
-                let day = format!("{size} brokers, {} ms a call, {scope:?}, seed {seed}", service_time / MS);
-                (Fleet::new(size, service_time, scope, seed).play(), day)
+                let run = format!("{size} brokers, {} ms a call, {scope:?}, seed {seed}", service_time / MS);
+                (Fleet::new(size, service_time, scope, seed).run(), run)
             })
         })
     })
 }
 
-/// What discovery has written counts as reported: from then on only the grace of a drain is left. And the whole fleet has
-/// the list a little after the time that one call of each broker takes.
+/// A list counts as reported once discovery has written it, and from then on only the grace of a drain is
+/// left. The whole fleet must also have the list shortly after the time that one call of each broker takes.
 #[test]
 fn a_small_fleet_has_the_list_soon_after_an_outage_and_a_series_of_new_configurations() {
-    for (fleet, day) in days() {
-        for (event, most) in [(OUTAGE.end, LIST_AFTER_OUTAGE), (WATCHES_END, LIST_AFTER_WATCH)] {
-            let lack = fleet.brokers.iter().map(|broker| broker.longest_lack(event)).max().unwrap();
-            assert!(lack < GRACE, "{day}, from {} ms on: written {} ms before", event / MS, lack / MS);
+    for (fleet, run) in runs() {
+        for (event, limit) in [(OUTAGE.end, LIST_AFTER_OUTAGE), (WATCHES_END, LIST_AFTER_WATCH)] {
+            let delay = fleet.brokers.iter().map(|broker| broker.list_delay(event)).max().unwrap();
+            assert!(delay < GRACE, "{run}, from {} ms on: list received {} ms late", event / MS, delay / MS);
             let received = |broker: &Broker| broker.received.iter().find(|at| **at >= event).copied();
             let last = fleet.brokers.iter().map(|broker| received(broker).unwrap_or(END)).max().unwrap();
             let time = last - event;
-            assert!(time < most, "{day}, from {} ms on: {} ms", event / MS, time / MS);
+            assert!(time < limit, "{run}, from {} ms on: {} ms to the last list", event / MS, time / MS);
         }
     }
 }
 
-/// Also in an outage of 6 s with four new configurations a broker calls discovery a dozen times at most.
+/// Even in an outage of 6 s with four new configurations, a broker calls discovery at most 12 times.
 #[test]
 fn calls_of_a_small_fleet_stay_few() {
-    for (fleet, day) in days() {
-        let most = fleet.brokers.iter().map(|broker| broker.calls).max();
-        assert!(most <= Some(12), "{day}: {most:?} calls of one broker");
+    for (fleet, run) in runs() {
+        let max_calls = fleet.brokers.iter().map(|broker| broker.calls).max();
+        assert!(max_calls <= Some(12), "{run}: {max_calls:?} calls of one broker");
     }
 }
--- a/tests/membership_units/staleness.rs
+++ b/tests/membership_units/staleness.rs
@@ -1,4 +1,4 @@
-//! Trust by age, and the learned rate of change.
+//! Trust in a record by its age, and the observed change rate.
 
 use pebbleturn::Nanos;
 use pebbleturn::membership::staleness::{
@@ -26,12 +26,12 @@
 
 #[test]
 fn the_change_rate_follows_observations_and_is_always_finite() {
-    let mut busy = ChangeRate::NONE;
-    busy.observe(16, HOUR, 32, 24 * HOUR);
-    assert!(busy.mean_interval(24 * HOUR) < 4.0 * HOUR as f64);
-    let mut calm = ChangeRate::NONE;
-    calm.observe(1000, 24 * HOUR, 3, 24 * HOUR);
-    assert!(calm.mean_interval(24 * HOUR) > 48.0 * HOUR as f64);
-    let broken = ChangeRate { changes: f64::NAN, watched: f64::INFINITY };
-    assert!(broken.mean_interval(HOUR) >= 1.0 && broken.mean_interval(0) >= 1.0);
+    let mut often_changing = ChangeRate::NONE;
+    often_changing.observe(16, HOUR, 32, 24 * HOUR);
+    assert!(often_changing.mean_interval(24 * HOUR) < 4.0 * HOUR as f64);
+    let mut rarely_changing = ChangeRate::NONE;
+    rarely_changing.observe(1000, 24 * HOUR, 3, 24 * HOUR);
+    assert!(rarely_changing.mean_interval(24 * HOUR) > 48.0 * HOUR as f64);
+    let invalid = ChangeRate { changes: f64::NAN, watched: f64::INFINITY };
+    assert!(invalid.mean_interval(HOUR) >= 1.0 && invalid.mean_interval(0) >= 1.0);
 }
--- a/tests/membership_units/watch_schedule.rs
+++ b/tests/membership_units/watch_schedule.rs
@@ -1,5 +1,5 @@
-//! The schedule of calls to discovery, in simulated time: a discovery that fails by seed, and a judge of how old the
-//! list may get.
+//! The schedule of calls to discovery, in simulated time: injects faults into the calls and checks how old
+//! the list may get.
 
 use pebbleturn::Nanos;
 use pebbleturn::membership::watch_schedule::{CallId, ListConfirmation, WatchAction, WatchSchedule};
@@ -11,10 +11,10 @@
 const DIAL_TIMEOUT: Nanos = 250 * MS;
 const GRACE: Nanos = 2 * S;
 
-/// What a broker may lag behind its own clock.
-const HOLD_UP: Nanos = 150 * MS;
+/// Longest scheduling delay of a broker's process.
+const SCHEDULING_DELAY: Nanos = 150 * MS;
 
-/// A fleet that crowds discovery when it calls often, and one that does not.
+/// A fleet that overloads discovery when it calls often, and one that does not.
 const LARGE_FLEET: u32 = 300;
 const SMALL_FLEET: u32 = 5;
 
@@ -22,14 +22,14 @@
     WatchSchedule::for_shared_discovery(DIAL_TIMEOUT, GRACE, brokers, seed)
 }
 
-/// What discovery does with a call.
+/// How a call fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// Refused at once, as by a service that is down.
+    /// The connection is refused immediately, as by a service that is down.
     Down,
-    NeverUp,
-    Broken,
-    Refused,
+    NeverConnected,
+    ClosedAfterConnect,
+    RefusedInQueue,
     Unanswered,
     CutInList,
     StalledInList,
@@ -37,98 +37,99 @@
 
 const FAULTS: [Fault; 7] = [
     Fault::Down,
-    Fault::NeverUp,
-    Fault::Broken,
-    Fault::Refused,
+    Fault::NeverConnected,
+    Fault::ClosedAfterConnect,
+    Fault::RefusedInQueue,
     Fault::Unanswered,
     Fault::CutInList,
     Fault::StalledInList,
 ];
 
-/// What comes to pass on a call.
+/// An event on a call.
 #[derive(Clone, Copy, Debug)]
-enum Happening {
+enum CallEvent {
     Connected,
     PartOfList,
     List,
     Ended,
 }
 
-/// The schedule, and what is to happen.
-struct World {
+/// The schedule and its simulated calls.
+struct Simulation {
     schedule: WatchSchedule,
     now: Nanos,
-    pending: Vec<(Nanos, CallId, Happening)>,
-    /// Calls that were begun, and when.
+    pending: Vec<(Nanos, CallId, CallEvent)>,
+    /// When each call began.
     begun: Vec<Nanos>,
-    most_at_once: usize,
+    max_concurrent: usize,
     open: Vec<CallId>,
 }
 
-impl World {
-    fn new(brokers: u32, seed: u64) -> World {
-        World::with(schedule(brokers, seed))
+impl Simulation {
+    fn new(brokers: u32, seed: u64) -> Simulation {
+        Simulation::with_schedule(schedule(brokers, seed))
     }
 
-    fn with(mut schedule: WatchSchedule) -> World {
+    fn with_schedule(mut schedule: WatchSchedule) -> Simulation {
         schedule.request(0);
         let (pending, begun, open) = (Vec::new(), Vec::new(), Vec::new());
-        World { schedule, now: 0, pending, begun, most_at_once: 0, open }
+        Simulation { schedule, now: 0, pending, begun, max_concurrent: 0, open }
     }
 
-    fn call(&mut self, fault: Option<Fault>) {
+    fn begin_call(&mut self, fault: Option<Fault>) {
         let id = self.schedule.begun(self.now);
         self.begun.push(self.now);
         self.open.push(id);
-        self.most_at_once = self.most_at_once.max(self.open.len());
+        self.max_concurrent = self.max_concurrent.max(self.open.len());
         let now = self.now;
-        let mut at = |after: Nanos, what: Happening| self.pending.push((now + after, id, what));
-        if fault != Some(Fault::NeverUp) {
-            at(MS, Happening::Connected);
+        let mut at = |after: Nanos, what: CallEvent| self.pending.push((now + after, id, what));
+        if fault != Some(Fault::NeverConnected) {
+            at(MS, CallEvent::Connected);
         }
         match fault {
-            None => at(20 * MS, Happening::List),
-            Some(Fault::Down) => at(MS, Happening::Ended),
-            Some(Fault::Broken) => at(2 * MS, Happening::Ended),
-            Some(Fault::Refused) => at(2 * S, Happening::Ended),
+            None => at(20 * MS, CallEvent::List),
+            Some(Fault::Down) => at(MS, CallEvent::Ended),
+            Some(Fault::ClosedAfterConnect) => at(2 * MS, CallEvent::Ended),
+            Some(Fault::RefusedInQueue) => at(2 * S, CallEvent::Ended),
             Some(Fault::CutInList) => {
-                at(20 * MS, Happening::PartOfList);
-                at(25 * MS, Happening::Ended);
+                at(20 * MS, CallEvent::PartOfList);
+                at(25 * MS, CallEvent::Ended);
             }
-            Some(Fault::StalledInList) => at(20 * MS, Happening::PartOfList),
-            Some(Fault::NeverUp | Fault::Unanswered) => {}
+            Some(Fault::StalledInList) => at(20 * MS, CallEvent::PartOfList),
+            Some(Fault::NeverConnected | Fault::Unanswered) => {}
         }
     }
 
-    /// Goes on to what comes next, and gives what happened on a call; `fault` says what a new call meets.
-    fn step(&mut self, mut fault: impl FnMut(usize) -> Option<Fault>) -> Option<Happening> {
+    /// Advances to the next event, and returns it if it occurred on a call. `fault` returns the fault of a
+    /// new call, given its number.
+    fn step(&mut self, mut fault: impl FnMut(usize) -> Option<Fault>) -> Option<CallEvent> {
         while let Some(action) = self.schedule.next_action(self.now) {
             match action {
                 WatchAction::Begin => {
                     let fault = fault(self.begun.len());
-                    self.call(fault);
+                    self.begin_call(fault);
                 }
                 WatchAction::TimedOut(id) => self.close(&[id]),
             }
         }
         let next = self.pending.iter().map(|(at, ..)| *at).chain(self.schedule.next_deadline()).min();
-        self.now = next.expect("there is always something to come").max(self.now);
+        self.now = next.expect("there is always a next event").max(self.now);
         let index = self.pending.iter().position(|(at, ..)| *at <= self.now)?;
-        let (_, id, happening) = self.pending.remove(index);
-        match happening {
-            Happening::Connected => self.schedule.connected(id, self.now),
-            Happening::PartOfList => self.schedule.received(id, true, self.now),
-            Happening::List => {
+        let (_, id, event) = self.pending.remove(index);
+        match event {
+            CallEvent::Connected => self.schedule.connected(id, self.now),
+            CallEvent::PartOfList => self.schedule.received(id, true, self.now),
+            CallEvent::List => {
                 let superseded = self.schedule.on_list(id, self.now);
                 self.schedule.received(id, false, self.now);
                 self.close(&superseded);
             }
-            Happening::Ended => {
+            CallEvent::Ended => {
                 self.schedule.ended(id, self.now);
                 self.close(&[id]);
             }
         }
-        Some(happening)
+        Some(event)
     }
 
     fn close(&mut self, ids: &[CallId]) {
@@ -136,23 +137,23 @@
         self.pending.retain(|(_, id, _)| !ids.contains(id));
     }
 
-    /// Runs until a list comes.
+    /// Runs until a list arrives, and returns the time.
     fn until_list(&mut self, mut fault: impl FnMut(usize) -> Option<Fault>) -> Nanos {
-        while !matches!(self.step(&mut fault), Some(Happening::List)) {}
+        while !matches!(self.step(&mut fault), Some(CallEvent::List)) {}
         self.now
     }
 }
 
-/// A watch falls silent with its first list. Whatever the next two calls meet, the next list comes within 8 s: after 6 s
-/// what the watch misses counts as reported, and the grace is 2 s.
+/// A watch is silent after its first list. Whatever faults the next two calls have, the next list arrives
+/// within 8 s: changes that the watch misses count as reported after 6 s, and the grace is 2 s.
 #[test]
-fn a_silent_watch_is_replaced_within_the_grace_whatever_two_calls_meet() {
+fn a_silent_watch_is_replaced_within_the_grace_despite_two_failed_calls() {
     for (seed, brokers) in (0..200).flat_map(|seed| [(seed, LARGE_FLEET), (seed, SMALL_FLEET)]) {
         for first in FAULTS {
             for second in FAULTS {
-                let mut world = World::new(brokers, seed);
-                let silent_since = world.until_list(|_| None);
-                let next = world.until_list(|call| match call {
+                let mut simulation = Simulation::new(brokers, seed);
+                let silent_since = simulation.until_list(|_| None);
+                let next = simulation.until_list(|call| match call {
                     1 => Some(first),
                     2 => Some(second),
                     _ => None,
@@ -164,93 +165,108 @@
     }
 }
 
-/// A list that was cut or stops in the middle may have reported a drain when it was written: the next one comes well
-/// within the grace of 2 s, though three lists in a row meet that.
+/// A list that was cut off or stops in the middle may have reported a drain when it was written. The next one
+/// arrives well within the grace of 2 s even if three lists in a row fail that way.
 #[test]
 fn a_list_that_stops_in_the_middle_is_replaced_at_once() {
     for seed in 0..200 {
         for faults in [[Fault::CutInList; 3], [Fault::StalledInList; 3]] {
-            let mut world = World::new(LARGE_FLEET, seed);
-            let next = world.until_list(|call| faults.get(call).copied());
-            let age = next - (world.begun[0] + 20 * MS);
+            let mut simulation = Simulation::new(LARGE_FLEET, seed);
+            let next = simulation.until_list(|call| faults.get(call).copied());
+            let age = next - (simulation.begun[0] + 20 * MS);
             assert!(age < 1500 * MS, "{faults:?}, seed {seed}: {} ms", age / MS);
         }
     }
 }
 
-/// Discovery handles calls in turn, also those whose callers have given up: while it refuses all, a broker may call it
-/// only ever more rarely, and with one call at a time.
+/// Discovery processes calls in order, including abandoned ones. While it refuses all calls, a broker must
+/// call it less and less often, and with one call at a time.
 #[test]
 fn refused_calls_become_rare() {
     for seed in 0..100 {
-        let mut world = World::new(LARGE_FLEET, seed);
-        while world.now < 60 * S {
-            world.step(|_| Some(Fault::Refused));
+        let mut simulation = Simulation::new(LARGE_FLEET, seed);
+        while simulation.now < 60 * S {
+            simulation.step(|_| Some(Fault::RefusedInQueue));
         }
-        let in_second_half = world.begun.iter().filter(|at| **at >= 30 * S).count();
+        let in_second_half = simulation.begun.iter().filter(|at| **at >= 30 * S).count();
         assert!(in_second_half <= 8, "seed {seed}: {in_second_half} calls in 30 s");
-        assert_eq!(world.most_at_once, 1, "seed {seed}");
+        assert_eq!(simulation.max_concurrent, 1, "seed {seed}");
     }
 }
 
-/// Faults drawn by seed for a minute: never more than a few calls at once, never a loop without a pause, and the list is
-/// confirmed exactly while there is a watch.
+/// Under random faults for a minute, few calls are concurrent, calls do not loop without a pause, and the
+/// list is confirmed exactly while a watch is established.
 #[test]
-fn any_faults_in_any_order_keep_the_bounds() {
+fn random_faults_keep_the_limits_on_calls() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut world = World::new(LARGE_FLEET, seed);
-        while world.now < 60 * S {
+        let mut simulation = Simulation::new(LARGE_FLEET, seed);
+        while simulation.now < 60 * S {
             let draw = (rng.next_u64() % (FAULTS.len() as u64 + 3)) as usize;
-            world.step(|_| FAULTS.get(draw).copied());
-            let is_watched = world.schedule.confirmation() == ListConfirmation::Watched;
-            assert_eq!(is_watched, world.schedule.is_established(), "seed {seed}");
+            simulation.step(|_| FAULTS.get(draw).copied());
+            let is_watched = simulation.schedule.confirmation() == ListConfirmation::Watched;
+            assert_eq!(is_watched, simulation.schedule.is_established(), "seed {seed}");
         }
-        assert!(world.most_at_once <= 5, "seed {seed}: {} calls at once", world.most_at_once);
-        let in_any_second = |at: &Nanos| world.begun.iter().filter(|b| **b >= *at && **b < at + S).count();
-        let densest = world.begun.iter().map(in_any_second).max();
+        assert!(
+            simulation.max_concurrent <= 5,
+            "seed {seed}: {} concurrent calls",
+            simulation.max_concurrent
+        );
+        let in_any_second =
+            |at: &Nanos| simulation.begun.iter().filter(|b| **b >= *at && **b < at + S).count();
+        let densest = simulation.begun.iter().map(in_any_second).max();
         assert!(densest <= Some(16), "seed {seed}: {densest:?} calls in a second");
     }
 }
 
-/// The calls of a small fleet together stay few while discovery refuses all: each broker has at most two at once, and one
-/// once it was refused.
+/// The calls of a small fleet stay few in total while discovery refuses all of them: each broker has at most
+/// two concurrent calls, and one after the first refusal.
 #[test]
 fn refused_calls_of_a_small_fleet_stay_few() {
     for seed in 0..100 {
-        let mut world = World::new(SMALL_FLEET, seed);
-        while world.now < 60 * S {
-            world.step(|_| Some(Fault::Refused));
+        let mut simulation = Simulation::new(SMALL_FLEET, seed);
+        while simulation.now < 60 * S {
+            simulation.step(|_| Some(Fault::RefusedInQueue));
         }
-        let in_second_half = world.begun.iter().filter(|at| **at >= 30 * S).count();
+        let in_second_half = simulation.begun.iter().filter(|at| **at >= 30 * S).count();
         assert!(in_second_half <= 12, "seed {seed}: {in_second_half} calls in 30 s");
-        assert!(world.most_at_once <= 2, "seed {seed}: {} calls at once", world.most_at_once);
-        assert!(world.begun.iter().filter(|at| **at < 3 * S).count() <= 3, "seed {seed}");
+        assert!(
+            simulation.max_concurrent <= 2,
+            "seed {seed}: {} concurrent calls",
+            simulation.max_concurrent
+        );
+        assert!(simulation.begun.iter().filter(|at| **at < 3 * S).count() <= 3, "seed {seed}");
     }
 }
 
-/// Discovery is down for any time, from the start or behind a watch, and is back then: whatever the first call after that
-/// meets, the next list comes before the grace of what it has by then is over.
+/// Discovery returns after an outage that began at the start or after a watch. Whatever fault the first call
+/// after that has, the next list arrives before the grace of a drain that discovery knows by then is over.
 #[test]
-fn the_first_list_after_an_outage_comes_within_the_grace_whatever_one_call_meets() {
+fn the_first_list_after_an_outage_arrives_within_the_grace_despite_one_failed_call() {
     for seed in 0..100 {
-        for outage in [Fault::Down, Fault::NeverUp, Fault::Broken, Fault::Refused, Fault::Unanswered] {
+        for outage in [
+            Fault::Down,
+            Fault::NeverConnected,
+            Fault::ClosedAfterConnect,
+            Fault::RefusedInQueue,
+            Fault::Unanswered,
+        ] {
             for first in FAULTS {
                 for (starts_watched, length) in [(true, 3), (true, 9), (true, 40), (false, 5), (false, 25)] {
-                    let mut world = World::new(SMALL_FLEET, seed);
+                    let mut simulation = Simulation::new(SMALL_FLEET, seed);
                     if starts_watched {
-                        world.until_list(|_| None);
-                        let watch = world.open[0];
-                        world.schedule.ended(watch, world.now);
-                        world.close(&[watch]);
+                        simulation.until_list(|_| None);
+                        let watch = simulation.open[0];
+                        simulation.schedule.ended(watch, simulation.now);
+                        simulation.close(&[watch]);
                     }
-                    let back = world.now + length * S;
-                    while world.now < back {
-                        world.step(|_| Some(outage));
+                    let returned_at = simulation.now + length * S;
+                    while simulation.now < returned_at {
+                        simulation.step(|_| Some(outage));
                     }
-                    let calls_before = world.begun.len();
-                    let list = world.until_list(|call| (call <= calls_before).then_some(first));
-                    let age = list - back + HOLD_UP;
+                    let calls_before = simulation.begun.len();
+                    let list = simulation.until_list(|call| (call <= calls_before).then_some(first));
+                    let age = list - returned_at + SCHEDULING_DELAY;
                     assert!(
                         age < 8 * S,
                         "{outage:?} for {length} s, {first:?}, seed {seed}: {} ms",
@@ -262,34 +278,35 @@
     }
 }
 
-/// What the discovery of a new configuration has counts as reported 4 s after the signal, and the grace is 2 s: whatever
-/// the next two calls meet, and however long the one before was down.
+/// Changes at the discovery of a new configuration count as reported 4 s after the signal, and the grace
+/// lasts 2 s more. The list must arrive by then whatever faults the next two calls have, and however long the
+/// previous discovery was down.
 #[test]
-fn the_first_list_after_a_move_comes_within_the_grace_whatever_two_calls_meet() {
+fn the_first_list_after_a_move_arrives_within_the_grace_despite_two_failed_calls() {
     for seed in 0..100 {
         for first in FAULTS {
             for second in FAULTS {
                 for outage in [0, 3, 30] {
-                    let mut world = World::new(SMALL_FLEET, seed);
-                    world.until_list(|_| None);
+                    let mut simulation = Simulation::new(SMALL_FLEET, seed);
+                    simulation.until_list(|_| None);
                     if outage > 0 {
-                        let watch = world.open[0];
-                        world.schedule.ended(watch, world.now);
-                        world.close(&[watch]);
+                        let watch = simulation.open[0];
+                        simulation.schedule.ended(watch, simulation.now);
+                        simulation.close(&[watch]);
                     }
-                    let moved = world.now + outage * S;
-                    while world.now < moved {
-                        world.step(|_| Some(Fault::Down));
+                    let moved_at = simulation.now + outage * S;
+                    while simulation.now < moved_at {
+                        simulation.step(|_| Some(Fault::Down));
                     }
-                    world.schedule.restart(world.now);
-                    let moved = world.now;
-                    let calls_before = world.begun.len();
-                    let list = world.until_list(|call| match call - calls_before {
+                    simulation.schedule.restart(simulation.now);
+                    let moved_at = simulation.now;
+                    let calls_before = simulation.begun.len();
+                    let list = simulation.until_list(|call| match call - calls_before {
                         0 => Some(first),
                         1 => Some(second),
                         _ => None,
                     });
-                    let age = list - moved + HOLD_UP;
+                    let age = list - moved_at + SCHEDULING_DELAY;
                     assert!(
                         age < 6 * S,
                         "{first:?}, {second:?} after {outage} s, seed {seed}: {} ms",
@@ -301,23 +318,25 @@
     }
 }
 
-/// An agent that pushes its list answers at once, and what it has counts as reported at once: two calls that meet any
-/// fault are behind before the grace is over.
+/// An agent that pushes its list answers immediately, and its changes count as reported immediately: a list
+/// must arrive within the grace even if two calls fail first.
 #[test]
-fn an_agent_is_called_again_within_the_grace_whatever_two_calls_meet() {
+fn an_agent_delivers_a_list_within_the_grace_despite_two_failed_calls() {
     for seed in 0..200 {
         for first in FAULTS {
-            for second in FAULTS.into_iter().filter(|fault| *fault != Fault::Refused) {
-                let mut world = World::with(WatchSchedule::for_pushed_lists(DIAL_TIMEOUT, GRACE, seed));
-                let list = world.until_list(|call| [first, second].get(call).copied());
-                let age = list + HOLD_UP;
+            for second in FAULTS.into_iter().filter(|fault| *fault != Fault::RefusedInQueue) {
+                let mut simulation =
+                    Simulation::with_schedule(WatchSchedule::for_pushed_lists(DIAL_TIMEOUT, GRACE, seed));
+                let list = simulation.until_list(|call| [first, second].get(call).copied());
+                let age = list + SCHEDULING_DELAY;
                 assert!(age < 2 * S, "{first:?}, {second:?}, seed {seed}: {} ms", age / MS);
             }
         }
     }
 }
 
-/// Discovery moves: the watch at the old address is kept until the new one answers, but does not count as one.
+/// When the address of discovery changes, the watch at the old address is kept until the new one answers, but
+/// does not count as a watch.
 #[test]
 fn a_move_keeps_the_old_watch_until_the_new_address_answers() {
     let mut schedule = schedule(SMALL_FLEET, 1);
@@ -330,15 +349,15 @@
     assert_eq!(schedule.next_action(S), Some(WatchAction::Begin));
     let new = schedule.begun(S);
     schedule.connected(new, S + MS);
-    assert!(schedule.on_list(old, S + 2 * MS).is_empty(), "the new call goes on");
+    assert!(schedule.on_list(old, S + 2 * MS).is_empty(), "the new call continues");
     assert!(!schedule.is_established());
     assert_eq!(schedule.on_list(new, S + 3 * MS), [old]);
     assert_eq!(schedule.confirmation(), ListConfirmation::Watched);
 }
 
-/// A watch that is alive has no other call beside it for long: an empty line ends the doubt.
+/// An empty line shows that a suspected watch is alive, and ends the call that was begun beside it.
 #[test]
-fn a_line_that_comes_late_supersedes_the_call_beside_the_watch() {
+fn a_late_empty_line_supersedes_the_call_beside_the_watch() {
     let mut schedule = schedule(LARGE_FLEET, 1);
     schedule.request(0);
     assert_eq!(schedule.next_action(0), Some(WatchAction::Begin));
@@ -346,15 +365,15 @@
     schedule.connected(watch, MS);
     assert!(schedule.on_list(watch, 2 * MS).is_empty());
     schedule.received(watch, false, 2 * MS);
-    assert_eq!(schedule.next_action(2 * S), None, "a line comes every 2 s");
+    assert_eq!(schedule.next_action(2 * S), None, "an empty line arrives every 2 s");
     assert_eq!(schedule.next_action(2500 * MS), Some(WatchAction::Begin));
-    let beside = schedule.begun(2500 * MS);
+    let second_call = schedule.begun(2500 * MS);
     assert_eq!(schedule.confirmation(), ListConfirmation::Watched);
-    assert_eq!(schedule.on_heartbeat(watch, 2600 * MS), [beside]);
+    assert_eq!(schedule.on_heartbeat(watch, 2600 * MS), [second_call]);
     assert!(schedule.is_established());
 }
 
-/// A watch that has nothing to report may say so by an empty line alone.
+/// A watch with nothing to report may send only an empty line.
 #[test]
 fn an_empty_line_establishes_a_watch() {
     let mut schedule = schedule(LARGE_FLEET, 1);
