--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership on real sockets: nodes that come, drain and go under a session, restarts without discovery.
+//! Membership on real sockets: nodes that are added, drained and removed during a session, and restarts
+//! without discovery.
 
 use pebbleturn::config::OperatorConfig;
 use pebbleturn::frontends::catalogue;
@@ -16,11 +17,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Only a hang is caught by this; no test leans on it.
-const HANG: Duration = Duration::from_secs(60);
+/// Guards against hangs; no test depends on its value.
+const HANG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longer than an attempt needs to reach a stand-in, also on a busy machine.
-const ARRIVAL: Duration = Duration::from_millis(500);
+/// Longer than an attempt takes to reach a simulated node, even on a loaded machine.
+const ARRIVAL_TIME: Duration = Duration::from_millis(500);
 
 struct Fleet {
     nodes: Vec<SocketAddr>,
@@ -38,31 +39,32 @@
         Fleet { nodes, script, directory }
     }
 
-    /// Attempts that have reached a node, once no more of them arrive. For a time in which no client asks.
+    /// Number of attempts that have reached a node, once no more arrive. Call it only while no client sends
+    /// requests.
     fn settled_attempts(&self, n: usize) -> usize {
         let mut count = self.script.came_to(n);
-        until("all attempts have arrived", || {
-            std::thread::sleep(ARRIVAL);
+        wait_until("all attempts have arrived", || {
+            std::thread::sleep(ARRIVAL_TIME);
             let earlier = std::mem::replace(&mut count, self.script.came_to(n));
             earlier == count
         });
         count
     }
 
-    fn tell(&self, n: usize, state: NodeState) {
+    fn report_state(&self, n: usize, state: NodeState) {
         self.directory.change(line(&format!("n-{n}"), self.nodes[n], "sru", n as u32 % 3, state));
     }
 }
 
-struct Running {
+struct RunningBroker {
     sru: SocketAddr,
     z3950: SocketAddr,
     waker: Waker,
     thread: JoinHandle<Result<(), BrokerError>>,
 }
 
-impl Running {
-    fn start(membership: &str, nodes: &[(SocketAddr, &str)]) -> Running {
+impl RunningBroker {
+    fn start(membership: &str, nodes: &[(SocketAddr, &str)]) -> RunningBroker {
         let mut text = String::from(
             "name = \"test\"\nzone = \"a\"\n[partitions]\ncount = 3\ncells = 3\nholders = 2\n\
              database = \"part-{partition}\"\n[[class]]\nname = \"c\"\naim_ms = 8000\ndeadline_ms = 20000\n\
@@ -78,23 +80,23 @@
             );
         }
         let operator = OperatorConfig::read(&text).unwrap();
-        let (tell, told) = mpsc::channel();
+        let (started_tx, started_rx) = mpsc::channel();
         let thread = std::thread::spawn(move || {
             let (mut broker, addrs) = catalogue::broker(operator)?;
-            tell.send((addrs[0], addrs[1], broker.shutdown_handle()?)).unwrap();
+            started_tx.send((addrs[0], addrs[1], broker.shutdown_handle()?)).unwrap();
             broker.run()
         });
-        let (sru, z3950, waker) = told.recv().unwrap();
-        Running { sru, z3950, waker, thread }
+        let (sru, z3950, waker) = started_rx.recv().unwrap();
+        RunningBroker { sru, z3950, waker, thread }
     }
 
-    /// One search; whether it was answered.
+    /// Sends one search and returns whether it was answered.
     fn serves(&self) -> bool {
         by_sru(self.sru).unwrap().starts_with("HTTP/1.1 200")
     }
 
-    fn until_it_serves(&self) {
-        until("it serves", || self.serves());
+    fn wait_until_serving(&self) {
+        wait_until("the broker serves", || self.serves());
     }
 
     fn stop(self) {
@@ -103,16 +105,16 @@
     }
 }
 
-fn until(what: &str, mut is: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !is() {
-        assert!(start.elapsed() < HANG, "{what}");
+    while !condition() {
+        assert!(start.elapsed() < HANG_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-fn with(directory: &Directory, keep: &Path) -> String {
-    format!("discovery = \"{}\"\nkeep = {:?}", directory.addr, keep.to_str().unwrap())
+fn discovery_and_store(directory: &Directory, store: &Path) -> String {
+    format!("discovery = \"{}\"\nkeep = {:?}", directory.addr, store.to_str().unwrap())
 }
 
 #[test]
@@ -122,38 +124,40 @@
     use pebbleturn_lab::standins::read_apdu;
     use std::io::Write;
     let fleet = Fleet::new();
-    let broker = Running::start(&format!("discovery = \"{}\"", fleet.directory.addr), &[]);
-    broker.until_it_serves();
+    let broker = RunningBroker::start(&format!("discovery = \"{}\"", fleet.directory.addr), &[]);
+    broker.wait_until_serving();
     let mut session = TcpStream::connect(broker.z3950).unwrap();
-    session.set_read_timeout(Some(HANG)).unwrap();
-    let mut ask = |apdu: Apdu| {
+    session.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
+    let mut exchange = |apdu: Apdu| {
         session.write_all(&apdu.encode()).unwrap();
-        read_apdu(&mut session).expect("the session goes on")
+        read_apdu(&mut session).expect("the session continues")
     };
-    assert!(matches!(ask(init()), Apdu::InitResponse(r) if r.accepted));
+    assert!(matches!(exchange(init()), Apdu::InitResponse(r) if r.accepted));
     let mut search = || {
-        let Apdu::SearchResponse(r) = ask(demo::search()) else { panic!("no SearchResponse") };
+        let Apdu::SearchResponse(r) = exchange(demo::search()) else { panic!("no SearchResponse") };
         assert!(r.success && r.count == 9, "{r:?}");
     };
     search();
-    // One drains, then another comes: once work reaches that, the drain is known.
-    fleet.tell(0, NodeState::Terminating);
-    fleet.tell(3, NodeState::Ready);
-    until("the new node gets work", || {
+    // One node drains, then another is added. Once the new node receives attempts, the broker also knows of
+    // the drain.
+    fleet.report_state(0, NodeState::Terminating);
+    fleet.report_state(3, NodeState::Ready);
+    wait_until("the new node receives attempts", || {
         search();
         fleet.script.came_to(3) > 0
     });
-    // The other attempt of a hedged request may still be on its way; while nobody asks nothing new is sent.
+    // The other attempt of a hedged request may still be in flight. While no client sends requests, no new
+    // attempts are sent.
     let before = fleet.settled_attempts(0);
     (0..20).for_each(|_| search());
-    assert_eq!(fleet.settled_attempts(0), before, "a node that drains gets nothing new");
-    fleet.tell(0, NodeState::Gone);
-    fleet.tell(1, NodeState::Gone);
-    let came = || fleet.script.came_to(1);
-    until("the other one gets nothing any more", || {
-        let before = came();
+    assert_eq!(fleet.settled_attempts(0), before, "a draining node receives no new attempts");
+    fleet.report_state(0, NodeState::Gone);
+    fleet.report_state(1, NodeState::Gone);
+    let attempts = || fleet.script.came_to(1);
+    wait_until("the other removed node receives no more attempts", || {
+        let before = attempts();
         (0..10).for_each(|_| search());
-        came() == before
+        attempts() == before
     });
     broker.stop();
 }
@@ -161,63 +165,64 @@
 #[test]
 fn restart_without_discovery_uses_the_cached_list_and_its_drains() {
     let (fleet, dir) = (Fleet::new(), tempfile::tempdir().unwrap());
-    let first = Running::start(&with(&fleet.directory, dir.path()), &[]);
-    first.until_it_serves();
-    fleet.tell(3, NodeState::Ready);
-    fleet.tell(0, NodeState::Terminating);
-    let drained = |lists: &[Snapshot]| {
+    let first = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
+    first.wait_until_serving();
+    fleet.report_state(3, NodeState::Ready);
+    fleet.report_state(0, NodeState::Terminating);
+    let has_drain = |lists: &[Snapshot]| {
         lists
             .iter()
             .any(|l| l.nodes.iter().any(|n| n.record.id == "n-0" && n.record.state == NodeState::Terminating))
     };
-    until("the drain is kept", || drained(&snapshot_store::read_path(dir.path()).snapshots));
+    wait_until("the drain is stored", || has_drain(&snapshot_store::read_path(dir.path()).snapshots));
     first.stop();
 
     fleet.directory.mode(Mode::Down);
-    let second = Running::start(&with(&fleet.directory, dir.path()), &[]);
+    let second = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
     let before = fleet.script.came_to(0);
     for _ in 0..20 {
         assert!(second.serves());
         assert!(by_z3950(second.z3950).unwrap().starts_with("9 hits"));
     }
     assert_eq!(fleet.script.came_to(0), before);
-    // Discovery comes back and counts anew, with an old view of that node: the drain stays learnt.
+    // Discovery returns, numbers its versions from 1 again and reports an old state of that node: the drain
+    // still applies.
     let list = (0..4).map(|n| line(&format!("n-{n}"), fleet.nodes[n], "sru", n as u32 % 3, NodeState::Ready));
     fleet.directory.count_anew(list.collect());
     fleet.directory.mode(Mode::Up);
-    let asked = fleet.directory.asked().len();
-    until("discovery is asked again", || fleet.directory.asked().len() > asked);
+    let calls_before = fleet.directory.asked().len();
+    wait_until("discovery is called again", || fleet.directory.asked().len() > calls_before);
     (0..20).for_each(|_| assert!(second.serves()));
     assert_eq!(fleet.script.came_to(0), before);
-    // Its next word about the node counts.
-    fleet.tell(0, NodeState::Ready);
-    until("the node is back", || second.serves() && fleet.script.came_to(0) > before);
+    // The next change that discovery reports for the node takes effect.
+    fleet.report_state(0, NodeState::Ready);
+    wait_until("the node receives attempts again", || second.serves() && fleet.script.came_to(0) > before);
     second.stop();
 }
 
 #[test]
-fn corrupt_cached_list_costs_nothing_but_itself() {
+fn corrupt_cached_list_is_ignored_and_replaced() {
     let (fleet, dir) = (Fleet::new(), tempfile::tempdir().unwrap());
     for name in [snapshot_store::CURRENT, snapshot_store::OLDER] {
         std::fs::write(dir.path().join(name), "pebbleturn-roster 1 12 00000000\nnot so long").unwrap();
     }
     fleet.directory.mode(Mode::Refusing);
     let nodes: Vec<(SocketAddr, &str)> = fleet.nodes[..3].iter().map(|a| (*a, "sru")).collect();
-    let broker = Running::start(&with(&fleet.directory, dir.path()), &nodes);
+    let broker = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &nodes);
     assert!(broker.serves());
     fleet.directory.mode(Mode::Up);
-    until("a sound list is kept", || !snapshot_store::read_path(dir.path()).snapshots.is_empty());
+    wait_until("a valid list is stored", || !snapshot_store::read_path(dir.path()).snapshots.is_empty());
     broker.stop();
 }
 
 #[test]
 fn two_brokers_with_one_directory_both_serve_and_one_writes() {
     let (fleet, dir) = (Fleet::new(), tempfile::tempdir().unwrap());
-    let first = Running::start(&with(&fleet.directory, dir.path()), &[]);
-    first.until_it_serves();
-    until("the list is kept", || !snapshot_store::read_path(dir.path()).snapshots.is_empty());
-    let second = Running::start(&with(&fleet.directory, dir.path()), &[]);
-    assert!(second.serves(), "from what the other kept");
+    let first = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
+    first.wait_until_serving();
+    wait_until("the list is stored", || !snapshot_store::read_path(dir.path()).snapshots.is_empty());
+    let second = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
+    assert!(second.serves(), "from the list that the first broker stored");
     second.stop();
     first.stop();
     assert!(snapshot_store::read_path(dir.path()).problems.is_empty());
@@ -227,21 +232,25 @@
 fn restart_with_slow_or_stale_discovery_serves_from_the_cached_list() {
     for mode in [Mode::Slow(30_000), Mode::Stale] {
         let (fleet, dir) = (Fleet::new(), tempfile::tempdir().unwrap());
-        let first = Running::start(&with(&fleet.directory, dir.path()), &[]);
-        first.until_it_serves();
-        fleet.tell(3, NodeState::Ready);
-        fleet.tell(0, NodeState::Terminating);
-        // News of the drain has been taken once work goes on to the other holders alone.
-        until("the drain is learnt", || {
+        let first = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
+        first.wait_until_serving();
+        fleet.report_state(3, NodeState::Ready);
+        fleet.report_state(0, NodeState::Terminating);
+        // The drain has taken effect once only the other holders receive attempts.
+        wait_until("the drain takes effect", || {
             let before = fleet.script.came_to(0);
             (0..10).all(|_| first.serves()) && fleet.script.came_to(0) == before
         });
         first.stop();
         fleet.directory.mode(mode);
         let before = fleet.script.came_to(0);
-        let second = Running::start(&with(&fleet.directory, dir.path()), &[]);
+        let second = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
         (0..20).for_each(|_| assert!(second.serves(), "{mode:?}"));
-        assert_eq!(fleet.script.came_to(0), before, "{mode:?}: the end of the first kept what it had learnt");
+        assert_eq!(
+            fleet.script.came_to(0),
+            before,
+            "{mode:?}: the first broker stored the drain when it stopped"
+        );
         second.stop();
     }
 }
@@ -251,12 +260,12 @@
     let closed = || TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for protocol in ["sru", "z3950"] {
         let nodes: Vec<(SocketAddr, &str)> = (0..3).map(|_| (closed(), protocol)).collect();
-        let broker = Running::start("", &nodes);
+        let broker = RunningBroker::start("", &nodes);
         for _ in 0..5 {
             let start = Instant::now();
             let answer = by_sru(broker.sru).unwrap();
             assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-            // It has 20 s, which is what this used to take.
+            // Without an immediate rejection the request takes until its deadline of 20 s.
             assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
         }
         broker.stop();
