--- a/src/server/discovery_watch.rs
+++ b/src/server/discovery_watch.rs
@@ -1,6 +1,6 @@
-//! The watch on discovery: a long-lived request whose response brings endpoint lists to the registry.
+//! The watch on discovery: a long-lived HTTP request whose response streams endpoint lists to the registry.
 //!
-//! Discovery sends one JSON object for each list, and an empty line as a heartbeat in between.
+//! Discovery sends each list as one JSON object, and empty lines between lists as heartbeats.
 
 use crate::api::Nanos;
 use crate::http::{HttpError, Reader, Side};
@@ -15,33 +15,33 @@
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("no room to ask")]
+    #[error("request not sent: the send buffer is full or the connection is closed")]
     RequestNotSent,
-    #[error("the connection broke")]
+    #[error("connection broken")]
     ConnectionBroken,
-    #[error("discovery closed it")]
+    #[error("connection closed by discovery")]
     Closed,
-    #[error("nothing came for too long")]
+    #[error("no data received within the time-out")]
     TimedOut,
     #[error("status {0}")]
     Status(u16),
     #[error(transparent)]
     Http(#[from] HttpError),
-    #[error("a line larger than a buffer")]
+    #[error("line exceeds the read buffer")]
     LineTooLong,
-    #[error("a bad line: {0}")]
+    #[error("invalid endpoint list: {0}")]
     List(#[from] serde_json::Error),
-    #[error("its answer ended within a list")]
+    #[error("response ended within an endpoint list")]
     ListIncomplete,
-    #[error("its answer ended")]
+    #[error("response ended")]
     ResponseEnded,
-    #[error("its changes are older than the list")]
+    #[error("received changes are older than the current endpoint list")]
     ChangesOlderThanList,
 }
 
 impl WatchError {
-    /// Whether a list was written that can't be used.
-    fn is_of_a_list(&self) -> bool {
+    /// Whether discovery sent a list that can't be used.
+    fn is_list_error(&self) -> bool {
         matches!(
             self,
             WatchError::List(_)
@@ -52,31 +52,30 @@
     }
 }
 
-/// Where in the response a watch is.
+/// How far the response has been parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListProgress {
-    /// No list has come yet.
+    /// No list has been received yet.
     AwaitingFirstList,
-    /// A list has come; the end of its last line has not.
+    /// A list has been received, but not yet the end of its last line.
     AwaitingLineEnd,
-    /// The next line is a heartbeat, or begins a list.
+    /// The next line is a heartbeat or the start of a list.
     BetweenLists,
 }
 
-/// A call to discovery: the watch, or one that is to become it.
+/// A call to discovery: the established watch, or a candidate to replace it.
 struct Call {
     id: CallId,
     conn: ConnId,
     reader: Reader,
-    /// When it was begun.
     begun: Nanos,
-    /// It requests the changes since this version; 0: the whole list.
+    /// The call requests the changes since this version; 0 requests the whole list.
     since: u64,
     progress: ListProgress,
 }
 
 impl Call {
-    /// Consumes white space; returns whether a heartbeat was in it.
+    /// Consumes white space; returns whether it contained a heartbeat.
     fn take_heartbeat(&mut self) -> bool {
         let body = self.reader.body();
         let blank = body.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
@@ -89,17 +88,17 @@
         line_ends > 0
     }
 
-    /// The next list, if it has come whole. It may be indented, over many lines: it ends where its object
-    /// does.
+    /// The next list, if it has been received completely. It may be indented over many lines, so its end is
+    /// the end of the JSON object and not a line end.
     fn take_list(&mut self) -> Result<Option<EndpointList>, WatchError> {
         let response_ended = self.reader.is_done();
         let mut lists = serde_json::Deserializer::from_slice(self.reader.body()).into_iter::<EndpointList>();
         let list = match lists.next() {
             Some(Ok(list)) => list,
-            Some(Err(error)) if !is_at_end(&error, self.reader.body()) => return Err(error.into()),
+            Some(Err(error)) if !is_truncated(&error, self.reader.body()) => return Err(error.into()),
             Some(Err(_)) if response_ended => return Err(WatchError::ListIncomplete),
             None if response_ended => return Err(WatchError::ResponseEnded),
-            // The rest of it is still to come.
+            // The rest of the list has not been received yet.
             Some(Err(_)) | None => return Ok(None),
         };
         let used = lists.byte_offset();
@@ -108,11 +107,11 @@
     }
 }
 
-/// Whether the parser failed at the end of what has come, so that more may mend it.
+/// Whether the parser failed at the end of the received bytes, so that more input may resolve the error.
 ///
-/// Its category of an error is no guide: it calls a number that is cut an invalid one where the field is
-/// skipped. An error that is none for want of more bytes lies before the end as soon as more have come.
-fn is_at_end(error: &serde_json::Error, text: &[u8]) -> bool {
+/// The parser's error category is not sufficient: for a truncated number in a skipped field it reports an
+/// invalid number. A genuine syntax error at the end is detected once more bytes follow it.
+fn is_truncated(error: &serde_json::Error, text: &[u8]) -> bool {
     let lines_before = error.line().saturating_sub(1);
     let line_start: usize =
         text.split_inclusive(|byte| *byte == b'\n').take(lines_before).map(<[u8]>::len).sum();
@@ -121,20 +120,20 @@
 
 /// The client side of the watch on discovery.
 pub struct DiscoveryWatch {
-    /// The owner under which its connections are registered at the poll loop.
+    /// The owner under which the connections are registered with the poll loop.
     owner: u8,
     discovery: SocketAddr,
     schedule: WatchSchedule,
     calls: Vec<Call>,
-    /// A call ended, and no watch is left, since this was last taken.
+    /// Whether a call has ended and left no watch since this was last taken.
     interrupted: bool,
-    /// Discovery answered with changes that are older than the list: the next call requests the whole list.
+    /// Discovery sent changes that are older than the current list: the next call requests the whole list.
     needs_whole_list: bool,
 }
 
 impl DiscoveryWatch {
-    /// A watch whose connections belong to `owner`, with calls as `schedule` has them. It begins with
-    /// [`DiscoveryWatch::request`].
+    /// A watch whose connections belong to `owner` and whose calls follow `schedule`. No call is made before
+    /// [`DiscoveryWatch::request`] or [`DiscoveryWatch::request_soon`].
     pub fn new(owner: u8, discovery: SocketAddr, schedule: WatchSchedule) -> DiscoveryWatch {
         DiscoveryWatch {
             owner,
@@ -151,23 +150,23 @@
         self.schedule.confirmation()
     }
 
-    /// Whether a call ended and no watch was left, since this was last called.
+    /// Whether a call has ended and left no watch since this was last called.
     pub fn take_interrupted(&mut self) -> bool {
         std::mem::take(&mut self.interrupted)
     }
 
-    /// A watch is wanted at this time, unless there is one or a call for one is due earlier.
+    /// Schedules a call at this time, unless one is under way or due earlier.
     pub fn request(&mut self, at: Nanos) {
         self.schedule.request(at);
     }
 
-    /// A watch is wanted soon, at a time that differs from broker to broker.
+    /// Schedules a call soon, after a delay that differs between brokers.
     pub fn request_soon(&mut self, now: Nanos) {
         self.schedule.request_soon(now);
     }
 
-    /// Discovery is at this address from now on: a watch begins there with the next tick. The one at the old
-    /// address is kept until that answers, as reports may still come on it.
+    /// Sets a new address of discovery; the next tick begins a call to it. The watch at the old address is
+    /// kept until the new one answers, as it may still deliver reports.
     pub fn move_to(&mut self, discovery: SocketAddr, now: Nanos) {
         if discovery == self.discovery {
             return tracing::info!(addr = %discovery, "configuration reloaded: discovery stays");
@@ -179,7 +178,7 @@
     }
 
     /// Begins the calls that are due, which request the changes since `version` of the list, and ends those
-    /// on which nothing came for too long: a silent peer is noticed by time alone.
+    /// on which nothing was received within the time-out, which alone detects a peer that has gone silent.
     pub fn tick(&mut self, version: u64, now: Nanos, net: &mut PollLoop) {
         while let Some(action) = self.schedule.next_action(now) {
             match action {
@@ -214,9 +213,9 @@
         }
     }
 
-    /// Closes a call that has ended.
+    /// Closes a call, logs why it ended and schedules the next one.
     fn end(&mut self, id: CallId, error: WatchError, now: Nanos, net: &mut PollLoop) {
-        if error.is_of_a_list() {
+        if error.is_list_error() {
             self.schedule.rejected(id, now);
         } else {
             self.schedule.ended(id, now);
@@ -245,7 +244,7 @@
         self.interrupted |= !self.schedule.is_established();
     }
 
-    /// Closes calls that another has made needless.
+    /// Closes calls that another call has replaced.
     fn close_superseded(&mut self, superseded: &[CallId], net: &mut PollLoop) {
         for call in self.calls.extract_if(.., |call| superseded.contains(&call.id)) {
             tracing::debug!(call = call.id.number(), "discovery call is superseded by another");
@@ -253,7 +252,7 @@
         }
     }
 
-    /// Handles an event of one of its connections. Others are ignored.
+    /// Handles an event of one of the watch's connections; events of other connections are ignored.
     pub fn on_event(&mut self, event: NetEvent, now: Nanos, net: &mut PollLoop, registry: &mut Registry) {
         match event {
             NetEvent::Connected { conn, .. } => {
@@ -281,7 +280,7 @@
         self.calls.iter().find(|call| call.conn == conn).map(|call| call.id)
     }
 
-    /// Reads until nothing more has come.
+    /// Reads and processes input until no more is available.
     fn read_available(
         &mut self,
         id: CallId,
@@ -313,7 +312,7 @@
         Ok(())
     }
 
-    /// Passes on the lists that have come whole, and the heartbeats between them.
+    /// Passes complete lists, and the heartbeats between them, to the registry and the schedule.
     fn process_lists(
         &mut self,
         id: CallId,
@@ -349,14 +348,15 @@
             if is_first {
                 tracing::info!(call, waited_ms, version = list.version, "discovery answered");
             }
-            let counts_anew = is_first && !list.full && list.version < registry.version();
-            if counts_anew && since > 0 {
-                // Its changes mean nothing without what it had before them.
+            let versions_were_reset = is_first && !list.full && list.version < registry.version();
+            if versions_were_reset && since > 0 {
+                // After a reset of discovery's versions, changes can't be applied without the list that they
+                // are based on.
                 self.needs_whole_list = true;
                 return Err(WatchError::ChangesOlderThanList);
             }
             self.needs_whole_list &= !is_first;
-            if counts_anew {
+            if versions_were_reset {
                 registry.on_changes_after_reset(&list, now);
             } else {
                 registry.on_discovery_update(&list, is_first, now);
