--- a/src/server/drain.rs
+++ b/src/server/drain.rs
@@ -1,45 +1,47 @@
-//! How clients are sent away: for good by a graceful shutdown, or until further notice by a pause.
+//! The phases in which clients are disconnected: permanently by a graceful shutdown, or until a resume by a
+//! pause.
 //!
-//! A state machine without I/O and clock. A load balancer checks now and then whether this broker is ready,
-//! and sends connections for a moment after it was not; clients use connections for as long as those stay
-//! open. So the phases are: not ready; then each answer closes its connection; then idle connections are
-//! closed.
+//! A state machine without I/O and clock. A load balancer checks periodically whether this broker is ready,
+//! and still sends connections for a short time after it is not; clients use connections for as long as
+//! those stay open. So the phases are: not ready; then each answer closes its connection; then idle
+//! connections are closed.
 //!
-//! In a pause the phases follow each other by time alone. In a graceful shutdown the listeners stay open for
+//! In a pause the phases depend on the elapsed time only. In a graceful shutdown the listeners stay open for
 //! [`ACCEPT_GRACE_PERIOD`], and open connections are served until shortly before the process may be killed.
-//! Where another process took over the address, nobody has to be waited for: answers close connections at
+//! Where another process has taken over the address, there is no grace period: answers close connections at
 //! once.
 
 use crate::api::Nanos;
 
-/// How long new connections are still to be expected after a shutdown or a pause began, with room to spare: a
-/// load balancer checks every 0.1 s, and sends connections for 0.2 to 0.4 s more. Nanoseconds.
+/// How long new connections are expected after a shutdown or a pause began, including a margin, nanoseconds.
+/// A load balancer checks every 0.1 s, and sends connections for 0.2 to 0.4 s more.
 pub const ACCEPT_GRACE_PERIOD: Nanos = 700_000_000;
-/// Time between two scans for idle connections while such are closed, nanoseconds.
+/// Time between two scans for idle connections in the phases that close them, nanoseconds.
 pub const IDLE_SCAN_INTERVAL: Nanos = 20_000_000;
-/// How long answers alone close connections before idle ones are closed, in a pause or after another process
-/// took over. A close may cross a request; an answer never does.
+/// How long connections are closed only with an answer before idle ones are closed too, in a pause or after
+/// another process took over, nanoseconds. Closing an idle connection may cross a request in flight; closing
+/// with an answer never does.
 const ANSWER_ONLY_PERIOD: Nanos = 500_000_000;
-/// How long after a pause began requests that were pipelined on one connection are still answered: no client
-/// may go on without end. Clients have to be gone 4 s after the pause, and none may have sent a request in
-/// the last 2 s of it.
+/// How long after a pause began requests that are pipelined on one connection are still answered, nanoseconds.
+/// Bounds a client that pipelines without end: clients must be disconnected 4 s after the pause, and none may
+/// have sent a request in the last 2 s of that.
 const PIPELINED_ANSWER_PERIOD: Nanos = 1_900_000_000;
-/// Upper bound of the time between the end of the grace period and the moment at which a broker that shuts
-/// down may be killed. That time is the longest deadline, up to this.
+/// Upper bound of the time from the end of the grace period until a broker that shuts down may be killed,
+/// nanoseconds. That time is the longest deadline, limited to this value.
 const MAX_KILL_DELAY: Nanos = 3_000_000_000;
-/// How long before the broker may be killed idle connections are closed. Guards clients whose other brokers
-/// shut down too: they stay on the connections that they have.
+/// How long before the broker may be killed idle connections are closed, nanoseconds. This is late because
+/// clients whose other brokers shut down too can only use the connections that they have.
 const CLOSE_IDLE_BEFORE_KILL: Nanos = 1_200_000_000;
-/// How long before the broker may be killed its last query has ended.
+/// How long before the broker may be killed its last query must have ended, nanoseconds.
 const LAST_ANSWER_BEFORE_KILL: Nanos = 400_000_000;
-/// Where other processes may serve at the same address: how long after a shutdown began it takes at most to
-/// notice them.
+/// Where other processes may serve at the same address: the longest time from the start of a shutdown until
+/// they are detected, nanoseconds.
 const SUCCESSOR_DETECTION_PERIOD: Nanos = 250_000_000;
 
-/// What is done with clients. Each phase includes what the one before it does.
+/// How clients are treated. Each phase includes the measures of the one before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DrainPhase {
-    /// Everybody is served.
+    /// All clients are served.
     Serving,
     /// This broker reports that it is not ready.
     NotReady,
@@ -47,40 +49,40 @@
     ClosingAfterAnswer,
     /// Idle connections are closed.
     ClosingIdle,
-    /// Each answer closes its connection, whatever was pipelined.
+    /// Each answer closes its connection, even if further requests were pipelined.
     ClosingAll,
 }
 
-/// How far the process is on its way to its end.
+/// Whether the process runs or shuts down.
 #[derive(Clone, Copy, Debug)]
 enum Lifecycle {
     Running,
-    /// A graceful shutdown was requested; clients have nowhere else to go at this address.
+    /// A graceful shutdown was requested, and no other process is known to serve at this address.
     ShuttingDown {
         since: Nanos,
     },
-    /// Another process serves at this address. `since` is when the shutdown began, be it by this or before.
+    /// Another process serves at this address. `since` is when the shutdown began: at the takeover or before.
     Superseded {
         since: Nanos,
     },
 }
 
-/// Whether clients are sent away by a pause.
+/// Whether a pause is in effect.
 #[derive(Clone, Copy, Debug)]
 enum Pause {
     Inactive,
     Active { since: Nanos },
 }
 
-/// Who serves at the address.
+/// Which processes may serve at the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AddressUse {
     ThisProcess,
-    /// Other processes may serve there too.
+    /// Other processes may serve at it too.
     Shared,
 }
 
-/// The state of shutdown and pause, and the points in time that follow from it.
+/// The state of shutdown and pause, and the phase and deadlines derived from it.
 #[derive(Clone, Copy, Debug)]
 #[must_use]
 pub struct DrainState {
@@ -91,8 +93,8 @@
 }
 
 impl DrainState {
-    /// Everybody is served. `longest_deadline` is the longest time that any client waits for its answer,
-    /// nanoseconds.
+    /// A state in which all clients are served. `longest_deadline` is the longest time that any client waits
+    /// for its answer, nanoseconds.
     pub fn new(longest_deadline: Nanos) -> DrainState {
         DrainState {
             longest_deadline,
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Other processes may serve at this address from now on.
+    /// Records that other processes may serve at this address from now on.
     pub fn share_address(&mut self) {
         self.address_use = AddressUse::Shared;
     }
@@ -112,14 +114,15 @@
         self.phase(now) == DrainPhase::Serving || (self.has_successor() && !self.is_paused())
     }
 
-    /// Begins a graceful shutdown. Only the first call counts.
+    /// Begins a graceful shutdown. Repeated calls have no effect.
     pub fn begin_shutdown(&mut self, now: Nanos) {
         if let Lifecycle::Running = self.lifecycle {
             self.lifecycle = Lifecycle::ShuttingDown { since: now };
         }
     }
 
-    /// Another process serves at this address: this one shuts down, if it does not already.
+    /// Records that another process serves at this address, and begins the shutdown of this one unless it has
+    /// already begun.
     pub fn successor_serves(&mut self, now: Nanos) {
         let since = self.shutdown_since().unwrap_or(now);
         self.lifecycle = Lifecycle::Superseded { since };
@@ -135,25 +138,25 @@
         self.shutdown_since().is_some()
     }
 
-    /// Sends clients away until [`DrainState::resume`]. Repeated it changes nothing: the time runs from the
-    /// first call.
+    /// Begins a pause, which lasts until [`DrainState::resume`]. Repeated calls have no effect: the phases
+    /// are timed from the first call.
     pub fn pause(&mut self, now: Nanos) {
         if let Pause::Inactive = self.pause {
             self.pause = Pause::Active { since: now };
         }
     }
 
-    /// Ends a pause. A graceful shutdown goes on.
+    /// Ends a pause. A graceful shutdown continues.
     pub fn resume(&mut self) {
         self.pause = Pause::Inactive;
     }
 
-    /// Whether clients are sent away by a pause.
+    /// Whether a pause is in effect.
     pub fn is_paused(&self) -> bool {
         matches!(self.pause, Pause::Active { .. })
     }
 
-    /// The phase at `now`: the stricter one of pause and shutdown.
+    /// The phase at `now`: the stricter of the pause's and the shutdown's.
     pub fn phase(&self, now: Nanos) -> DrainPhase {
         self.pause_phase(now).max(self.shutdown_phase(now))
     }
@@ -186,7 +189,8 @@
         }
     }
 
-    /// Guards an upgrade: to be not ready while another process serves would send clients away from both.
+    /// Whether another process may already serve without having been detected. During an upgrade, reporting
+    /// not ready while the successor serves would turn clients away from both processes.
     fn may_have_unnoticed_successor(&self, shutdown_since: Nanos, now: Nanos) -> bool {
         self.address_use == AddressUse::Shared && now < shutdown_since + SUCCESSOR_DETECTION_PERIOD
     }
@@ -207,25 +211,25 @@
         }
     }
 
-    /// The earliest moment at which the process may be killed.
+    /// The earliest time at which the process may be killed.
     fn earliest_kill(&self) -> Nanos {
         let delay = ACCEPT_GRACE_PERIOD + self.longest_deadline.min(MAX_KILL_DELAY);
         self.shutdown_since().map_or(Nanos::MAX, |since| since + delay)
     }
 
-    /// By when queries that are accepted after the listeners closed have to be answered, as of `now`: before
-    /// the process may be killed.
+    /// The time by which queries that are accepted after the listeners closed must be answered, as of `now`:
+    /// before the process may be killed.
     pub fn answer_by(&self, now: Nanos) -> Nanos {
         let earliest_kill = self.earliest_kill();
         earliest_kill - LAST_ANSWER_BEFORE_KILL.min(earliest_kill.saturating_sub(now))
     }
 
-    /// When the process exits even if a client does not read its answer.
+    /// When the process exits even if clients have not read their answers.
     pub fn exit_by(&self) -> Option<Nanos> {
         self.shutdown_since().map(|since| since + ACCEPT_GRACE_PERIOD + self.longest_deadline)
     }
 
-    /// When the phase next changes, or has to be looked at again.
+    /// When the phase next changes, or idle connections or the exit have to be checked again.
     pub fn next_deadline(&self, now: Nanos) -> Option<Nanos> {
         if self.phase(now) >= DrainPhase::ClosingIdle {
             return Some(now + IDLE_SCAN_INTERVAL);
