--- a/src/server/frontend.rs
+++ b/src/server/frontend.rs
@@ -8,10 +8,10 @@
 use crate::engine::EngineAction;
 use crate::net::{NetEvent, PollLoop};
 
-/// A frontend: the downstream connections of clients and the upstream connections of nodes, which meet only
-/// in the query engine.
+/// A frontend: the downstream connections of clients and the upstream connections of nodes, which are linked
+/// only through the query engine.
 pub trait Frontend {
-    /// What a query carries from its client.
+    /// Data of the client's request that a query carries.
     type Query;
     /// The value of a part's response.
     type Value;
@@ -19,10 +19,10 @@
     /// Handles an event of one of the frontend's connections.
     fn on_event(&mut self, event: NetEvent, context: &mut FrontendContext<'_, Self::Query, Self::Value>);
 
-    /// Does what is due at the context's time. Called once in each iteration of the event loop.
+    /// Runs the work that is due at the context's time. Called once in each iteration of the event loop.
     fn tick(&mut self, context: &mut FrontendContext<'_, Self::Query, Self::Value>);
 
-    /// Carries out what the query engine decided.
+    /// Carries out an action of the query engine.
     fn perform(
         &mut self,
         action: EngineAction<Self::Query, Self::Value>,
@@ -32,19 +32,20 @@
     /// When [`Frontend::tick`] is next worth calling.
     fn next_deadline(&self) -> Option<Nanos>;
 
-    /// Sets what health checks of this broker are answered: whether it is ready for clients.
+    /// Sets the result of this broker's health checks: whether it is ready for clients.
     fn set_ready(&mut self, ready: bool);
 
-    /// Sets how clients are treated from now on.
+    /// Sets the drain phase, which determines how clients are treated.
     fn set_drain_phase(&mut self, phase: DrainPhase);
 
-    /// Reloads the configuration. If it can't be used, the frontend logs that and goes on as before.
+    /// Reloads the configuration. If it can't be used, the frontend logs the error and keeps
+    /// the current one.
     fn reload(&mut self, context: &mut FrontendContext<'_, Self::Query, Self::Value>);
 
-    /// Closes the connections of clients that wait for no response.
+    /// Closes the connections of clients that have no response pending.
     fn close_idle(&mut self, context: &mut FrontendContext<'_, Self::Query, Self::Value>);
 
-    /// The owners under which its listeners are registered at the poll loop.
+    /// The owners under which the frontend's listeners are registered with the poll loop.
     fn listeners(&self) -> &[u8];
 
     /// Whether no client is connected.
@@ -63,9 +64,9 @@
     /// closed.
     fn limit_descriptors(&mut self, descriptors: usize, net: &mut PollLoop);
 
-    /// Ids of open queries that must not be accepted twice.
+    /// Ids of open queries, which must not be accepted a second time.
     fn open_ids(&self) -> Vec<String>;
 
-    /// Reserves ids that are in use at another process.
+    /// Reserves query ids that are in use at another process.
     fn reserve_ids(&mut self, ids: &[String], now: Nanos);
 }
--- a/src/server/hint_exchange.rs
+++ b/src/server/hint_exchange.rs
@@ -1,11 +1,11 @@
-//! Hints on drains and starts of nodes, from other brokers and for them.
+//! Hints on drains and starts of nodes, received from other brokers and recorded for them.
 
 use crate::membership::gossip_hints::{LocalHints, PeerHints};
 use crate::membership::{DiscoveryState, NodeChange, NodeState, Registry};
 use crate::replication::derived_state::NodeHints;
 use crate::replication::{FactKey, ProcessStart};
 
-/// Most hints for other brokers that wait to be taken. What a longer list holds beyond is sent as it changes.
+/// Most pending hints for other brokers. Nodes of a longer list get a hint when they next change.
 const MAX_PENDING_HINTS: usize = 32_768;
 
 /// The version of an endpoint list.
@@ -16,17 +16,17 @@
     version: u64,
 }
 
-/// Hints from other brokers, and those that they are to get.
+/// Hints from other brokers, and pending hints for them.
 #[derive(Default)]
 pub(super) struct HintExchange {
     peer_hints: PeerHints,
-    /// The own list that was last looked at.
+    /// The version of this broker's list that was last processed.
     list_version: ListVersion,
     pending: Vec<(FactKey, ProcessStart)>,
 }
 
 impl HintExchange {
-    /// Records hints for other brokers, and makes changes as careful as the hints of others require.
+    /// Records hints for other brokers, and restricts the changes as the hints of other brokers require.
     pub(super) fn on_changes(&mut self, changes: Vec<NodeChange>, registry: &Registry) -> Vec<NodeChange> {
         for change in &changes {
             if self.pending.len() >= MAX_PENDING_HINTS {
@@ -49,8 +49,7 @@
         }
     }
 
-    /// The changes that follow from a newer list of this broker's own; none if the list is the one last
-    /// looked at.
+    /// The changes that follow from a newer list of this broker; none if the list was processed before.
     pub(super) fn on_list_version(&mut self, registry: &Registry) -> Vec<NodeChange> {
         let current = ListVersion { epoch: registry.epoch(), version: registry.version() };
         let previous = std::mem::replace(&mut self.list_version, current);
@@ -61,18 +60,18 @@
         self.peer_hints.on_list_change(discovery_restarted, |id| local_hints(registry, id))
     }
 
-    /// The change that follows from a hint of other brokers, if there is one.
+    /// The change that follows from a hint of other brokers, if any.
     pub(super) fn on_hint(&mut self, id: &str, hints: NodeHints) -> Option<NodeChange> {
         self.peer_hints.on_hint(id, hints)
     }
 
-    /// Hints for other brokers since this was last called.
+    /// Takes the hints for other brokers that were recorded since this was last called.
     pub(super) fn take_pending(&mut self) -> Vec<(FactKey, ProcessStart)> {
         std::mem::take(&mut self.pending)
     }
 }
 
-/// What the own list reports of a node.
+/// The state of a node in this broker's list.
 fn local_hints(registry: &Registry, id: &str) -> LocalHints {
     let started = registry.discovery_state(id).map_or(0, |known| known.started);
     LocalHints { started, version: registry.version() }
--- a/src/server/membership_driver.rs
+++ b/src/server/membership_driver.rs
@@ -1,4 +1,4 @@
-//! Membership as a frontend needs it: the registry, the watch on discovery and the list on disk, tied to the
+//! The membership of a frontend: connects the registry, the watch on discovery and the list on disk to the
 //! query engine.
 
 use super::discovery_watch::DiscoveryWatch;
@@ -16,33 +16,33 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long the endpoint list is used without a watch that confirms it.
+/// How long the endpoint list is used while no watch confirms it.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms {
-    /// From the end of a watch, or from the start: what the list of the configuration misses may have been
-    /// reported long ago, ns.
+    /// Lease time from the end of the watch, ns. Before the first watch it runs from the start of the broker,
+    /// as changes that the configured list lacks may have been reported long ago.
     pub without_watch: Nanos,
-    /// How long an attempt that a node accepted proves that it does not drain, ns.
+    /// How long an attempt that a node accepted is proof that the node does not drain, ns.
     pub proof_lifetime: Nanos,
 }
 
 impl LeaseTerms {
-    /// Terms for a discovery that is asked. What it has counts as reported 6 s later at the latest; `grace`: the
-    /// time after that in which a drain must be kept, ns.
+    /// Terms for a discovery that is polled. Its changes count as reported at most 6 s later; `grace` is the
+    /// time after that within which sends to a draining node must cease, ns.
     #[must_use]
     pub fn for_polled(grace: Nanos) -> LeaseTerms {
-        let proof_lifetime = REPORTED_AT_THE_LATEST + grace / 2;
+        let proof_lifetime = MAX_REPORT_DELAY + grace / 2;
         LeaseTerms { without_watch: grace / 8 * 3, proof_lifetime }
     }
 
-    /// Terms for a discovery that pushes: what it has counts as reported at once.
+    /// Terms for a discovery that pushes lists: its changes count as reported at once.
     #[must_use]
     pub fn for_pushed(grace: Nanos) -> LeaseTerms {
         LeaseTerms { without_watch: grace / 8 * 3, proof_lifetime: grace / 8 * 7 }
     }
 }
 
-/// The endpoint list's lease, and what the query engine was told of it.
+/// The lease of the endpoint list, and the confirmation that was last reported to the query engine.
 #[derive(Debug)]
 struct Lease {
     terms: LeaseTerms,
@@ -50,8 +50,8 @@
     reported: Option<ListConfirmation>,
 }
 
-/// Time after which what discovery has counts as reported, whether or not it arrived, ns.
-const REPORTED_AT_THE_LATEST: Nanos = 6_000_000_000;
+/// Time after which a change at discovery counts as reported, whether or not it arrived, ns.
+const MAX_REPORT_DELAY: Nanos = 6_000_000_000;
 
 /// The registry and its sources.
 pub struct MembershipDriver {
@@ -60,7 +60,7 @@
     lease: Option<Lease>,
     /// The operator's routing rules, where there are any.
     routing: Option<Routing>,
-    /// Nodes that an operator suspended, whatever the sources report.
+    /// Nodes that an operator suspended, which takes precedence over discovery.
     manual_overrides: ManualOverrides,
     /// Hints from and for other brokers, where there are any.
     hint_exchange: Option<HintExchange>,
@@ -70,7 +70,7 @@
 }
 
 impl MembershipDriver {
-    /// Membership by this registry, whose list is written to disk by `snapshot_writer`. There is no watch on
+    /// Membership from this registry, whose list is written to disk by `snapshot_writer`, without a watch on
     /// discovery.
     pub fn new(registry: Registry, snapshot_writer: Option<SnapshotWriter>) -> MembershipDriver {
         MembershipDriver {
@@ -85,33 +85,33 @@
         }
     }
 
-    /// Watches discovery as this watch has it, and uses the list without a watch for as long as `terms` has it.
+    /// Adds a watch on discovery. `terms` limits how long the list is used without confirmation by a watch.
     pub fn with_watch(mut self, watch: DiscoveryWatch, terms: LeaseTerms, now: Nanos) -> MembershipDriver {
         self.watch = Some(watch);
         self.lease = Some(Lease { terms, started: now, reported: None });
         self
     }
 
-    /// Offers the query engine the nodes that these rules let through.
+    /// Restricts the nodes that the query engine gets to those that these rules allow.
     pub fn with_routing(mut self, routing: Routing) -> MembershipDriver {
         self.routing = Some(routing);
         self
     }
 
-    /// These nodes are suspended from the start.
+    /// Suspends these nodes from the start.
     pub fn with_suspended(mut self, ids: impl IntoIterator<Item = String>) -> MembershipDriver {
         self.manual_overrides = ManualOverrides::with_suspended(ids);
         self
     }
 
-    /// Exchanges hints on drains and starts with other brokers. To be called before the first list is passed
-    /// on: hints hold back the nodes of that list too.
+    /// Exchanges hints on drains and starts with other brokers. Must be called before the first list is
+    /// propagated, as hints hold back nodes of that list too.
     pub fn share_hints(mut self) -> MembershipDriver {
         self.hint_exchange = Some(HintExchange::default());
         self
     }
 
-    /// The operator's nodes are these from now on, with these rules.
+    /// Replaces the operator's nodes and their routing rules.
     pub fn set_operator_nodes(&mut self, nodes: Vec<NodeRecord>, rules: HashMap<String, Rule>, now: Nanos) {
         if let Some(routing) = &mut self.routing {
             routing.set_rules(rules, now);
@@ -119,7 +119,7 @@
         self.registry.set_operator_nodes(nodes, now);
     }
 
-    /// A watch on discovery is wanted, unless there is one or there is no discovery.
+    /// Begins a watch on discovery, unless a call is under way or no discovery is configured.
     pub fn request_watch(&mut self, now: Nanos, net: &mut PollLoop) {
         if let Some(watch) = &mut self.watch {
             watch.request(now);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Discovery is at this address from now on. Its watch begins with the next [`MembershipDriver::tick`].
+    /// Sets a new address of discovery. The next [`MembershipDriver::tick`] begins a watch there.
     pub fn move_to(&mut self, discovery: SocketAddr, now: Nanos) {
         if let Some(watch) = &mut self.watch {
             watch.move_to(discovery, now);
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Does what is due at the context's time, and passes on what changed. `set_address` is called with each
-    /// change, so that the frontend learns where the node is.
+    /// Runs the work that is due at the context's time, and propagates changes. `set_address` is called with
+    /// each change, so that the frontend gets the node's address.
     pub fn tick<Q, V>(
         &mut self,
         context: &mut FrontendContext<'_, Q, V>,
@@ -162,7 +162,7 @@
         self.write_snapshot(now);
     }
 
-    /// Passes the results of attempts on to the health checks of registry and routing.
+    /// Reports the results of attempts to the health checks of registry and routing.
     fn record_attempts<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
         while let Some(end) = context.engine.next_attempt_end() {
             self.registry.on_attempt_end(end.replica, end.outcome, end.latency, context.now);
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Passes changes on to the query engine, and that the watch was interrupted.
+    /// Reports changes and the state of the lease to the query engine, and an interrupted watch to the
+    /// registry.
     pub fn pass_on<Q, V>(
         &mut self,
         context: &mut FrontendContext<'_, Q, V>,
@@ -194,7 +195,7 @@
         self.pass_on_lease(context);
     }
 
-    /// Changes of the registry, as routing lets them through.
+    /// The registry's changes, restricted by routing where it is configured.
     fn take_changes(&mut self, now: Nanos) -> Option<Vec<NodeChange>> {
         let changes = self.registry.take_changes();
         let Some(routing) = &mut self.routing else { return changes };
@@ -204,7 +205,7 @@
         routing.take_changes()
     }
 
-    /// Tells the query engine for how long the list holds, if that has changed.
+    /// Reports to the query engine until when the list is valid, if its confirmation has changed.
     fn pass_on_lease<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
         let (Some(watch), Some(lease)) = (&self.watch, &mut self.lease) else { return };
         let confirmation = watch.confirmation();
@@ -228,7 +229,7 @@
         }
     }
 
-    /// A newer list of this broker's own may release nodes that hints held back.
+    /// Releases nodes that hints held back, where a newer list of this broker allows that.
     fn release_by_newer_list<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
         let Some(hints) = &mut self.hint_exchange else { return };
         let changes = hints.on_list_version(&self.registry);
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Hints on drains and starts for other brokers, since this was last called.
+    /// Takes the hints on drains and starts for other brokers recorded since this was last called.
     pub fn take_hints(&mut self) -> Vec<(FactKey, ProcessStart)> {
         self.hint_exchange.as_mut().map_or(Vec::new(), HintExchange::take_pending)
     }
@@ -252,12 +253,12 @@
         self.pass_on_hinted(change.into_iter().collect(), context);
     }
 
-    /// Whether any list, or an operator's command, has named this node.
+    /// Whether a list or an operator's command has ever named this node.
     pub fn knows(&self, id: &str) -> bool {
         self.registry.knows(id) || self.manual_overrides.knows(id)
     }
 
-    /// The replica under which a node gets parts, or got them until it was removed.
+    /// The replica id under which a node gets parts, or got them until it was removed.
     pub fn replica(&self, id: &str) -> Option<ReplicaId> {
         self.manual_overrides.replica(id)
     }
@@ -267,7 +268,7 @@
         (self.registry.epoch(), self.registry.version())
     }
 
-    /// The list as it is handed over to the next process.
+    /// The list in the form in which it is handed over to the next process.
     pub fn snapshot(&self, now: Nanos) -> Snapshot {
         self.registry.snapshot(now)
     }
@@ -287,14 +288,15 @@
         self.override_node(id, suspended, known, context)
     }
 
-    /// Suspends or restores a node as another process or broker was commanded, which knew its id.
+    /// Suspends or restores a node on a command that another process or broker accepted. The id was known
+    /// there, so it is accepted here even if no list has named it.
     pub fn apply_suspension<Q, V>(
         &mut self,
         id: &str,
         suspended: bool,
         context: &mut FrontendContext<'_, Q, V>,
     ) {
-        // An id that is known can't be rejected.
+        // A known id can't be rejected.
         let _ = self.override_node(id, suspended, true, context);
     }
 
@@ -316,7 +318,7 @@
         Ok(())
     }
 
-    /// Nodes in the list, and how many of them are suspended.
+    /// The number of nodes in the list, and the number of suspended ones among them.
     pub fn counts(&self) -> (usize, usize) {
         (self.registry.listed_count(), self.manual_overrides.listed_suspended())
     }
@@ -332,7 +334,7 @@
 
     /// When [`MembershipDriver::tick`] is next worth calling.
     pub fn next_deadline(&self) -> Option<Nanos> {
-        // A writer that is busy is looked at again when something else happens.
+        // A busy writer needs no deadline: it is checked again when the event loop next wakes.
         let idle_writer = self.snapshot_writer.as_ref().filter(|writer| writer.is_idle());
         [
             self.registry.next_deadline(),
@@ -347,7 +349,7 @@
 }
 
 impl Drop for MembershipDriver {
-    /// Writes what was learnt since the last write, so that an orderly end does not lose it.
+    /// Writes the changes since the last write, so that a regular exit does not lose them.
     fn drop(&mut self) {
         if let (Some(writer), Some(snapshot)) =
             (&mut self.snapshot_writer, self.registry.final_snapshot(self.now))
