--- a/src/server/admin_handler.rs
+++ b/src/server/admin_handler.rs
@@ -10,7 +10,7 @@
 use crate::net::ConnId;
 use crate::replication::{CommandValue, FactKey};
 
-/// Why a request is answered with a failure. The text is what the caller reads.
+/// Why a request failed. The text is sent to the caller.
 #[derive(Debug, thiserror::Error)]
 enum AdminError {
     #[error("this broker has no peers")]
@@ -21,10 +21,11 @@
     UnknownNode(String),
     #[error("{0} is no broker of this cluster")]
     UnknownBroker(String),
-    /// A broker that removed itself would stop talking at once, and no peer would learn of it.
+    /// A broker that removed itself would stop exchanging state at once, so the removal would not reach any
+    /// peer.
     #[error("{0} is this broker: say it at another one")]
     RemovesItself(String),
-    #[error("nothing is said of that by hand")]
+    #[error("this fact can't be set by a command")]
     NoSuchCommand,
     #[error("for= needs a cluster: without one a word holds until the next")]
     ExpiryNeedsCluster,
@@ -40,8 +41,8 @@
 }
 
 impl ClusterCommand {
-    /// The command that a request stands for in a cluster; the request itself where it is none. Without the
-    /// name of a broker it is meant for this one, `own_name`.
+    /// The cluster command that a request stands for, or the request itself if it is not a cluster command. A
+    /// request that names no broker applies to this one, `own_name`.
     fn from_request(request: AdminRequest, own_name: &str) -> Result<ClusterCommand, AdminRequest> {
         let pause = |broker: Option<String>| FactKey::Pause(broker.unwrap_or_else(|| own_name.to_owned()));
         let (key, value, options) = match request {
@@ -58,7 +59,7 @@
 }
 
 impl<F: Frontend> Broker<F> {
-    /// Carries out the requests that have arrived.
+    /// Handles the requests that have arrived.
     pub(super) fn handle_admin_requests(&mut self, now: Nanos) {
         while let Some((conn, request)) = self.admin_server.as_mut().and_then(AdminServer::next_request) {
             let response = self.handle_admin_request(request, conn, now);
@@ -68,8 +69,8 @@
         }
     }
 
-    /// The response; none for a command to the cluster, which is answered once it is on disk, nor for one that binds the
-    /// next process at this address, which is answered once that would read it.
+    /// Returns the response, if it can be sent at once. A command to the cluster is answered once it is on
+    /// disk, and a command that also applies to other processes at this address once they can read it.
     fn handle_admin_request(
         &mut self,
         mut request: AdminRequest,
@@ -83,9 +84,9 @@
                 Err(other) => request = other,
             }
         }
-        let binds_next_process = self.hot_restart.is_some() && is_override(&request);
-        match self.carry_out(request, now) {
-            Ok(response) if binds_next_process => {
+        let is_shared_override = self.hot_restart.is_some() && is_override(&request);
+        match self.carry_out_locally(request, now) {
+            Ok(response) if is_shared_override => {
                 self.command_confirmations.add(caller, response, now);
                 None
             }
@@ -111,7 +112,7 @@
         Ok(())
     }
 
-    /// Checks that what a command names exists; returns the text that confirms it.
+    /// Checks that the node or broker that a command names exists; returns the text of its confirmation.
     fn check_command(&self, command: &ClusterCommand) -> Result<String, AdminError> {
         let Some(cluster) = &self.cluster else { return Err(AdminError::NoPeers) };
         let known = cluster.knows(&command.key);
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Carries out a request that concerns this broker alone.
-    fn carry_out(&mut self, request: AdminRequest, now: Nanos) -> Result<AdminResponse, AdminError> {
+    /// Carries out a request that applies to this broker only.
+    fn carry_out_locally(&mut self, request: AdminRequest, now: Nanos) -> Result<AdminResponse, AdminError> {
         match request {
             AdminRequest::Status => self.status(),
             AdminRequest::Metrics => Ok(self.metrics_report()),
@@ -225,7 +226,7 @@
     }
 }
 
-/// Whether a request is a command that other processes at this address have to follow.
+/// Whether a request is a command that also applies to the other processes at this address.
 fn is_override(request: &AdminRequest) -> bool {
     matches!(
         request,
@@ -236,12 +237,12 @@
     )
 }
 
-/// Without a cluster nothing keeps the time at which a command ends by itself.
+/// Rejects an expiry: without a cluster, commands have no expiry.
 fn reject_expiry(options: &CommandOptions) -> Result<(), AdminError> {
     if options.valid_for_s.is_some() { Err(AdminError::ExpiryNeedsCluster) } else { Ok(()) }
 }
 
-/// Without a cluster no other broker can be paused or resumed.
+/// Rejects the name of a broker: without a cluster, only this broker can be paused or resumed.
 fn reject_other_broker(broker: Option<&str>) -> Result<(), AdminError> {
     if broker.is_some() { Err(AdminError::NoPeers) } else { Ok(()) }
 }
--- a/src/server/cluster_driver.rs
+++ b/src/server/cluster_driver.rs
@@ -1,4 +1,4 @@
-//! Exchanges state with the cluster, and applies it to this broker.
+//! Exchanges state with the cluster, and applies its changes to this broker.
 
 use super::broker::Broker;
 use super::cluster_state::{AppliedClusterState, StateChanges};
@@ -29,8 +29,8 @@
 
     fn exchange_hints(&mut self, now: Nanos) {
         let Some(cluster) = &mut self.cluster else { return };
-        // Until the state on disk was read, and while the process before still has it, nothing can be
-        // recorded.
+        // Nothing can be recorded until the state has been read from disk, nor while the previous process
+        // still holds that state.
         if cluster.derived_state().is_some() {
             for (key, latest) in self.frontend.membership_mut().take_hints() {
                 cluster.record_hint(key, latest, now);
@@ -51,7 +51,7 @@
         self.applied.get_or_insert_with(|| AppliedClusterState::from_overrides(overrides)).update(state)
     }
 
-    /// Answers the callers whose commands are on disk, or were rejected.
+    /// Answers the callers whose commands have been written to disk or rejected.
     fn answer_cluster_commands(&mut self) {
         let Some(cluster) = &mut self.cluster else { return };
         for (caller, result) in cluster.take_replies() {
--- a/src/server/cluster_state.rs
+++ b/src/server/cluster_state.rs
@@ -1,26 +1,26 @@
-//! What the state of the cluster means for this broker.
+//! The part of the cluster's state that this broker applies.
 
 use crate::hot_restart::state::Overrides;
 use crate::replication::derived_state::DerivedState;
 use std::collections::BTreeSet;
 
-/// What of the cluster's state is applied at this broker.
+/// The part of the cluster's state that is applied at this broker.
 #[derive(Debug)]
 pub(super) struct AppliedClusterState {
     suspended: BTreeSet<String>,
     paused: bool,
 }
 
-/// What an update of the cluster's state changes at this broker.
+/// The changes at this broker that follow from an update of the cluster's state.
 #[derive(Debug, Default)]
 #[must_use = "the changes are recorded as applied"]
 pub(super) struct StateChanges {
     pub(super) suspensions: Vec<SuspensionChange>,
-    /// Whether the broker is paused from now on, if that changed.
+    /// Whether the broker is now paused, if that changed.
     pub(super) paused: Option<bool>,
 }
 
-/// A node that is suspended or restored.
+/// A node that was suspended or restored.
 #[derive(Debug)]
 pub(super) struct SuspensionChange {
     pub(super) id: String,
@@ -28,8 +28,8 @@
 }
 
 impl AppliedClusterState {
-    /// The state that an earlier process handed over. That process reported it to the cluster too, so the
-    /// cluster's state on disk is the newer one wherever they differ.
+    /// The state that an earlier process handed over. That process reported it to the cluster too, so where
+    /// they differ, the cluster's state on disk is newer.
     pub(super) fn from_overrides(overrides: &Overrides) -> AppliedClusterState {
         AppliedClusterState {
             suspended: overrides.suspended_servers().map(str::to_owned).collect(),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adopts the cluster's state, and returns what this changes.
+    /// Adopts the cluster's state, and returns the changes.
     pub(super) fn update(&mut self, state: &DerivedState) -> StateChanges {
         let mut changes = StateChanges::default();
         if state.disabled_servers != self.suspended {
--- a/src/server/command_confirmation.rs
+++ b/src/server/command_confirmation.rs
@@ -1,55 +1,55 @@
-//! Responses to operators' commands that wait until another process at this address would read the command.
+//! Responses to operators' commands, delayed until other processes at this address can read the command.
 
 use crate::admin::AdminResponse;
 use crate::api::Nanos;
 use crate::hot_restart::state_directory::UpdateNumber;
 use crate::net::ConnId;
 
-/// Longest time for which a response waits, ns: callers are owed one within a second, also while the disk hangs.
-const LONGEST_WAIT: Nanos = 500_000_000;
-/// Time between two looks whether the command is written, ns.
+/// Longest delay of a response, ns: callers must get one within a second, even while the disk hangs.
+const MAX_RESPONSE_DELAY: Nanos = 500_000_000;
+/// Time between two checks whether the commands have been written, ns.
 const CHECK_INTERVAL: Nanos = 2_000_000;
 
-/// A response that waits.
+/// A response whose command has not been written yet.
 #[derive(Debug)]
-struct WaitingResponse {
+struct PendingResponse {
     caller: ConnId,
     response: AdminResponse,
-    /// The update that has the command, once one was published.
+    /// The update that contains the command, once it has been published.
     update: Option<UpdateNumber>,
     respond_by: Nanos,
 }
 
-/// The responses that wait.
+/// The pending responses.
 #[derive(Debug, Default)]
-pub(super) struct CommandConfirmations(Vec<WaitingResponse>);
+pub(super) struct CommandConfirmations(Vec<PendingResponse>);
 
 impl CommandConfirmations {
-    /// The response to a command that was carried out waits from now on.
+    /// Adds the response to a command that was carried out.
     pub(super) fn add(&mut self, caller: ConnId, response: AdminResponse, now: Nanos) {
-        self.0.push(WaitingResponse { caller, response, update: None, respond_by: now + LONGEST_WAIT });
+        self.0.push(PendingResponse { caller, response, update: None, respond_by: now + MAX_RESPONSE_DELAY });
     }
 
-    /// An update was published, which has all commands that were carried out before.
+    /// Records that an update was published. It contains all commands that were carried out before.
     pub(super) fn on_published(&mut self, update: UpdateNumber) {
-        self.0.iter_mut().for_each(|waiting| _ = waiting.update.get_or_insert(update));
+        self.0.iter_mut().for_each(|pending| _ = pending.update.get_or_insert(update));
     }
 
-    /// The responses that have waited for long enough.
+    /// Removes and returns the responses whose commands are written or whose delay is over.
     pub(super) fn take_due(
         &mut self,
         now: Nanos,
         is_written: impl Fn(UpdateNumber) -> bool,
     ) -> Vec<(ConnId, AdminResponse)> {
-        let is_due = |waiting: &WaitingResponse| {
-            let is_overdue = now >= waiting.respond_by;
+        let is_due = |pending: &PendingResponse| {
+            let is_overdue = now >= pending.respond_by;
             if is_overdue {
                 tracing::warn!("command is confirmed before it is written for the next process");
             }
-            is_overdue || waiting.update.is_some_and(&is_written)
+            is_overdue || pending.update.is_some_and(&is_written)
         };
-        let due = self.0.extract_if(.., |waiting| is_due(waiting));
-        due.map(|waiting| (waiting.caller, waiting.response)).collect()
+        let due = self.0.extract_if(.., |pending| is_due(pending));
+        due.map(|pending| (pending.caller, pending.response)).collect()
     }
 
     /// When [`CommandConfirmations::take_due`] is next worth calling.
--- a/src/server/hot_restart_driver.rs
+++ b/src/server/hot_restart_driver.rs
@@ -1,4 +1,4 @@
-//! Follows the other processes at this address, and publishes the state of this one.
+//! Observes the other processes at this address, and publishes the state of this one.
 
 use super::broker::Broker;
 use super::frontend::{Frontend, FrontendContext};
@@ -7,8 +7,8 @@
 use crate::hot_restart::{LocalState, ResourceUsage};
 
 impl<F: Frontend> Broker<F> {
-    /// Observes the other processes at this address, applies what follows, and publishes the state of this
-    /// one. Does nothing until that is due.
+    /// Observes the other processes at this address, applies their commands and this process's share of the
+    /// limits, and publishes the state of this one. Does nothing until that is due.
     pub(super) fn observe_hot_restart(&mut self, now: Nanos) {
         if !self.hot_restart.as_ref().is_some_and(|hot_restart| hot_restart.is_due(now)) {
             return;
@@ -20,7 +20,7 @@
         self.publish_state(usage.in_flight, open_query_ids, now);
     }
 
-    /// Adopts the operator's commands and the reserved ids of the other processes.
+    /// Adopts the operator's commands of the other processes, and reserves the ids of their open queries.
     fn merge_peer_states(&mut self, usage: ResourceUsage, now: Nanos) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Keeps to this process's share of the limits, and begins the shutdown once another process serves.
+    /// Applies this process's share of the limits, and begins the shutdown once another process serves.
     fn apply_quota_share(&mut self, now: Nanos) {
         let Some(hot_restart) = &mut self.hot_restart else { return };
         let share = hot_restart.quota_share(now);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Responds to the commands that are written by now.
+    /// Responds to the commands that have been written, or whose response is due.
     pub(super) fn confirm_commands(&mut self, now: Nanos) {
         let (Some(admin_server), Some(hot_restart)) = (&mut self.admin_server, &self.hot_restart) else {
             return;
