--- a/src/server/broker.rs
+++ b/src/server/broker.rs
@@ -1,4 +1,4 @@
-//! The state of a running broker, which the event loop and its handlers share.
+//! The state of a running broker, shared by the event loop and its handlers.
 
 use super::cluster_state::AppliedClusterState;
 use super::command_confirmation::CommandConfirmations;
@@ -16,10 +16,10 @@
 use crate::membership::UnknownNode;
 use crate::net::{Clock, PollLoop};
 
-/// A broker that listens. It serves once [`Broker::run`] is called.
+/// A broker whose listeners are open. It serves once [`Broker::run`] is called.
 ///
-/// It is put together by [`BrokerBuilder`](super::BrokerBuilder).
-#[must_use = "a broker serves nobody until it runs"]
+/// It is created by [`BrokerBuilder`](super::BrokerBuilder).
+#[must_use = "a broker does not serve until `run` is called"]
 pub struct Broker<F: Frontend> {
     pub(super) clock: Clock,
     pub(super) net: PollLoop,
@@ -31,23 +31,23 @@
     /// The phase that the frontend was last notified of.
     pub(super) drain_phase: DrainPhase,
     pub(super) listeners_closed: bool,
-    /// When idle connections are next looked for, while such are closed.
+    /// When idle connections are next scanned for, in the phases that close them.
     pub(super) next_idle_scan: Nanos,
     /// The admin endpoint, if one is configured.
     pub(super) admin_server: Option<AdminServer>,
-    /// Operator commands that were given here or to another process at this address.
+    /// Operator commands that this process or another one at this address received.
     pub(super) overrides: Overrides,
-    /// Coordination with other processes at this address, if there may be any.
+    /// Coordination with other processes at this address, if hot restart is configured.
     pub(super) hot_restart: Option<HotRestart>,
-    /// Responses that wait until their commands are written.
+    /// Responses that wait until their commands have been written for the other processes.
     pub(super) command_confirmations: CommandConfirmations,
     /// The share of the limits that was last applied.
     pub(super) quota_share: Option<QuotaShare>,
     /// Membership in a cluster, if one is configured.
     pub(super) cluster: Option<Cluster>,
-    /// What of the cluster's state is applied here; none until that state was read from disk.
+    /// The part of the cluster's state that is applied here; `None` until that state has been read from disk.
     pub(super) applied: Option<AppliedClusterState>,
-    /// The longest iteration of the event loop, ns; measured in a cluster only.
+    /// The longest iteration of the event loop, ns; measured only in a cluster.
     pub(super) longest_iteration: Nanos,
     pub(super) query_stats: QueryStats,
     pub(super) wall_clock_monitor: WallClockMonitor,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Makes the operator's commands known to the other processes at this address at once.
+    /// Publishes the operator's commands to the other processes at this address without delay.
     pub(super) fn publish_overrides(&mut self) {
         if let Some(hot_restart) = &mut self.hot_restart {
             hot_restart.publish_now();
--- a/src/server/builder.rs
+++ b/src/server/builder.rs
@@ -1,4 +1,4 @@
-//! Puts a broker together.
+//! Assembles a broker from its components.
 
 use super::broker::Broker;
 use super::command_confirmation::CommandConfirmations;
@@ -19,7 +19,7 @@
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Collects what a broker consists of. Nothing is opened before [`BrokerBuilder::build`].
+/// Collects the components of a broker. Nothing is opened before [`BrokerBuilder::build`].
 #[must_use = "a builder does nothing until `build` is called"]
 pub struct BrokerBuilder<F: Frontend> {
     clock: Clock,
@@ -32,7 +32,7 @@
 }
 
 impl<F: Frontend> BrokerBuilder<F> {
-    /// A broker without an admin endpoint, alone at its address and without a cluster.
+    /// A broker without admin endpoint, hot restart and cluster.
     pub fn new(
         clock: Clock,
         net: PollLoop,
@@ -47,8 +47,8 @@
         self.admin_address = Some(address);
     }
 
-    /// Shares the address with other processes: the one before, and later the one after. `overrides` are the
-    /// operator's commands that the processes before were given.
+    /// Shares the address with other processes, a predecessor and later a successor. `overrides` are the
+    /// operator's commands that were given to earlier processes.
     pub fn join_hot_restart(&mut self, hot_restart: HotRestart, overrides: Overrides) {
         self.hot_restart = Some((hot_restart, overrides));
     }
@@ -58,11 +58,11 @@
         self.cluster = Some((config.clone(), name.to_owned()));
     }
 
-    /// Opens the admin endpoint and joins the other processes and the cluster.
+    /// Opens the admin endpoint, and joins the other processes at the address and the cluster.
     ///
     /// # Errors
     ///
-    /// If the operating system refuses the admin endpoint's socket, or what the cluster needs.
+    /// If the operating system refuses the admin endpoint's socket, or a resource that the cluster needs.
     pub fn build(self) -> Result<Broker<F>, BrokerError> {
         let deadlines = self.engine.settings().classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or(0);
@@ -106,8 +106,8 @@
 
 impl<F: Frontend> Broker<F> {
     fn open_admin_endpoint(&mut self, address: SocketAddr) -> Result<(), BrokerError> {
-        let server =
-            AdminServer::open(address, &mut self.net).map_err(BrokerError::io("listen for operation"))?;
+        let server = AdminServer::open(address, &mut self.net)
+            .map_err(BrokerError::io("listen on the admin endpoint"))?;
         tracing::info!(addr = %server.local_addr(), "admin endpoint listens");
         self.admin_server = Some(server);
         Ok(())
@@ -126,7 +126,8 @@
 
     fn open_cluster(&mut self, config: &ClusterConfig, name: &str) -> Result<(), BrokerError> {
         let now = self.clock.now();
-        let cluster = Cluster::open(config, name, now, &mut self.net).map_err(BrokerError::io("cluster"))?;
+        let cluster =
+            Cluster::open(config, name, now, &mut self.net).map_err(BrokerError::io("open the cluster"))?;
         self.cluster = Some(cluster);
         self.drive_cluster(now);
         Ok(())
--- a/src/server/error.rs
+++ b/src/server/error.rs
@@ -1,20 +1,20 @@
-//! Why a broker can't start or go on.
+//! Errors that prevent a broker from starting or continuing.
 
 use crate::config::ConfigError;
 use std::io;
 
-/// Why a broker can't start or go on.
+/// An error that prevents a broker from starting or continuing.
 #[derive(Debug, thiserror::Error)]
 pub enum BrokerError {
     /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operating system refused something that the broker can't do without.
+    /// An operation of the operating system that the broker depends on failed.
     #[error("{operation}: {source}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         operation: &'static str,
-        /// What the operating system reported.
+        /// The error that the operating system reported.
         source: io::Error,
     },
 }
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop of a broker: waits for events, passes them on, and carries out what follows.
+//! The event loop of a broker: waits for events, dispatches them to their handlers, and carries out the
+//! resulting actions.
 
 use super::broker::Broker;
 use super::drain::{DrainPhase, IDLE_SCAN_INTERVAL};
@@ -12,22 +13,22 @@
 use std::time::Duration;
 
 impl<F: Frontend> Broker<F> {
-    /// Acts on these signals from now on.
+    /// Handles these signals from now on.
     ///
     /// # Errors
     ///
-    /// If the operating system does not let the poll loop watch them.
+    /// If the operating system refuses to watch them.
     pub fn handle_signals(&mut self, signals: Signals) -> Result<(), BrokerError> {
-        self.net.watch_signals(signals).map_err(BrokerError::io("signals"))
+        self.net.watch_signals(signals).map_err(BrokerError::io("watch signals"))
     }
 
-    /// A handle by which another thread can begin a graceful shutdown of this broker.
+    /// A handle with which another thread can begin a graceful shutdown of this broker.
     ///
     /// # Errors
     ///
-    /// If the operating system refuses what wakes the poll loop.
+    /// If the operating system refuses to create the poll loop's waker.
     pub fn shutdown_handle(&mut self) -> Result<Waker, BrokerError> {
-        self.net.waker().map_err(BrokerError::io("waker"))
+        self.net.waker().map_err(BrokerError::io("create the waker"))
     }
 
     /// Serves until a graceful shutdown is complete.
@@ -40,7 +41,7 @@
         while !self.is_finished() {
             let timeout =
                 self.next_deadline().map(|t| Duration::from_nanos(t.saturating_sub(self.clock.now())));
-            self.net.wait(timeout, &mut events).map_err(BrokerError::io("poll"))?;
+            self.net.wait(timeout, &mut events).map_err(BrokerError::io("wait for events"))?;
             let now = self.clock.now();
             for event in events.drain(..) {
                 self.on_event(event, now);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Does what is due at this time, and carries out what the query engine decided.
+    /// Runs the work that is due at this time, and carries out the actions of the query engine.
     fn run_once(&mut self, now: Nanos) {
         self.observe_hot_restart(now);
         self.confirm_commands(now);
@@ -116,8 +117,8 @@
         if phase != previous {
             self.drain_phase = phase;
             self.frontend.set_drain_phase(phase);
-            // The next tick of the frontend notifies the clients that have to be notified; then idle ones are
-            // closed.
+            // The next tick of the frontend notifies the clients that expect a notification; idle connections
+            // are closed after that.
             self.next_idle_scan = now + IDLE_SCAN_INTERVAL;
         }
         let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
@@ -135,15 +136,15 @@
         }
     }
 
-    /// Whether a graceful shutdown is complete: a connection that was just accepted is still served, but a
-    /// peer that does not read its response can't keep the process running.
+    /// Whether a graceful shutdown is complete. A connection that was just accepted is still served, but a
+    /// peer that does not read its response can't keep the process running beyond the exit deadline.
     fn is_finished(&self) -> bool {
         let overdue = self.drain.exit_by().is_some_and(|t| self.clock.now() >= t);
         self.listeners_closed && (overdue || (self.frontend.is_empty() && !self.net.is_busy()))
     }
 
     fn next_deadline(&self) -> Option<Nanos> {
-        // While nobody is connected there is nobody to close.
+        // Without clients there are no connections to close.
         let idle = self.drain_phase >= DrainPhase::ClosingIdle
             && !self.drain.is_shutting_down()
             && self.frontend.is_empty();
--- a/src/server/mod.rs
+++ b/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! The broker as a server: its event loop, the interface of a frontend, and the membership that both use.
 //!
-//! The event loop is on top of the handlers of admin requests, cluster and hot restart, which work on the
-//! state of the [`Broker`]; that is on top of [`frontend`], which is on top of [`membership_driver`].
+//! The layers from top to bottom: the event loop; the handlers of admin requests, cluster and hot restart,
+//! which work on the state of the [`Broker`]; [`frontend`]; and [`membership_driver`].
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/server/query_stats.rs
+++ b/src/server/query_stats.rs
@@ -3,7 +3,7 @@
 use crate::api::Nanos;
 use crate::engine::QueryOutcome;
 
-/// Least time between two log lines, nanoseconds.
+/// Minimum time between two log lines, nanoseconds.
 const LOG_INTERVAL: Nanos = 60_000_000_000;
 
 /// Results of queries since the last log line.
@@ -17,7 +17,7 @@
 }
 
 impl QueryStats {
-    /// No queries so far; the first line comes an interval after `now` at the earliest.
+    /// Empty statistics; the first line is logged no earlier than one interval after `now`.
     pub(super) fn new(now: Nanos) -> QueryStats {
         QueryStats { last_log: now, ..QueryStats::default() }
     }
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Logs and resets the counts, if an interval has passed and a query has ended since. `open` queries and
-    /// `attempts_in_flight` are logged as they are now.
+    /// Logs and resets the counts, if an interval has passed and a query has ended since the last line. The
+    /// numbers of `open` queries and `attempts_in_flight` are the current ones.
     pub(super) fn log_if_due(&mut self, now: Nanos, open: usize, attempts_in_flight: usize) {
         let QueryStats { last_log, complete, partial, rejected, failed } = *self;
         if now >= last_log + LOG_INTERVAL && complete + partial + rejected + failed > 0 {
