--- a/src/server/drain.rs
+++ b/src/server/drain.rs
@@ -22,7 +22,7 @@
 /// another process took over, nanoseconds. Closing an idle connection may cross a request in flight; closing
 /// with an answer never does.
 const ANSWER_ONLY_PERIOD: Nanos = 500_000_000;
-/// How long after a pause began requests that are pipelined on one connection are still answered, nanoseconds.
+/// How long after a pause began requests that are pipelined on one connection are still answered, ns.
 /// Bounds a client that pipelines without end: clients must be disconnected 4 s after the pause, and none may
 /// have sent a request in the last 2 s of that.
 const PIPELINED_ANSWER_PERIOD: Nanos = 1_900_000_000;
