--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -174,7 +174,7 @@
         match PlatformConfig::from_file(file) {
             Ok(told) => {
                 self.reload_retry.clear();
-                self.membership.move_to(told.discovery, now);
+                self.membership.set_discovery_address(told.discovery, now);
             }
             // Guards the service against a file that is half written or wrong: what it was told before stays.
             Err(e) => {
--- a/src/server/discovery_watch.rs
+++ b/src/server/discovery_watch.rs
@@ -167,7 +167,7 @@
 
     /// Sets a new address of discovery; the next tick begins a call to it. The watch at the old address is
     /// kept until the new one answers, as it may still deliver reports.
-    pub fn move_to(&mut self, discovery: SocketAddr, now: Nanos) {
+    pub fn set_discovery_address(&mut self, discovery: SocketAddr, now: Nanos) {
         if discovery == self.discovery {
             return tracing::info!(addr = %discovery, "configuration reloaded: discovery stays");
         }
--- a/src/server/membership_driver.rs
+++ b/src/server/membership_driver.rs
@@ -128,9 +128,9 @@
     }
 
     /// Sets a new address of discovery. The next [`MembershipDriver::tick`] begins a watch there.
-    pub fn move_to(&mut self, discovery: SocketAddr, now: Nanos) {
+    pub fn set_discovery_address(&mut self, discovery: SocketAddr, now: Nanos) {
         if let Some(watch) = &mut self.watch {
-            watch.move_to(discovery, now);
+            watch.set_discovery_address(discovery, now);
         }
     }
 
