--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -217,7 +217,7 @@
         PollLoop::new(Pool::with_byte_limit(BUFFERS), most - to_nodes).map_err(BrokerError::io("poll"))?;
     let mut nodes = Nodes::new(NODES, &told.partitions.database, told.limits.clone(), to_nodes);
     let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.pass_on(&mut hands, |c| nodes.place(c));
+    membership.propagate_changes(&mut hands, |c| nodes.place(c));
     // The list of nodes is in before the first client can come.
     exchange.advance(now);
     let mut listening = Vec::new();
--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -140,7 +140,7 @@
     );
     let mut exchange = QueryEngine::new(settings, told.seed, now).map_err(ConfigError::rejected)?;
     let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.pass_on(&mut hands, |c| servers.place(c.entry.replica, c.addr));
+    membership.propagate_changes(&mut hands, |c| servers.place(c.entry.replica, c.addr));
     // The list of servers is in before the first client can come.
     exchange.advance(now);
     let listening = match told.inherited {
@@ -220,7 +220,7 @@
             EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, hands),
             EngineAction::WatchEndpoints => {
                 self.membership.request_watch(hands.now, hands.net);
-                self.membership.pass_on(hands, |c| self.servers.place(c.entry.replica, c.addr));
+                self.membership.propagate_changes(hands, |c| self.servers.place(c.entry.replica, c.addr));
             }
             // Shard servers on this port are not probed; the settings forbid it.
             EngineAction::HealthCheck { replica } => hands.engine.health_checked(replica, false, 0, None),
--- a/src/server/admin_handler.rs
+++ b/src/server/admin_handler.rs
@@ -166,7 +166,7 @@
     }
 
     fn metrics_report(&self) -> AdminResponse {
-        let (pool_size, suspended) = self.frontend.membership().counts();
+        let (pool_size, suspended) = self.frontend.membership().node_counts();
         let gauges = Gauges {
             active: self.engine.open_queries(),
             pool_size,
--- a/src/server/membership_driver.rs
+++ b/src/server/membership_driver.rs
@@ -158,7 +158,7 @@
         if let Some(routing) = &mut self.routing {
             routing.tick(now);
         }
-        self.pass_on(context, set_address);
+        self.propagate_changes(context, set_address);
         self.write_snapshot(now);
     }
 
@@ -174,7 +174,7 @@
 
     /// Reports changes and the state of the lease to the query engine, and an interrupted watch to the
     /// registry.
-    pub fn pass_on<Q, V>(
+    pub fn propagate_changes<Q, V>(
         &mut self,
         context: &mut FrontendContext<'_, Q, V>,
         mut set_address: impl FnMut(&NodeChange),
@@ -192,7 +192,7 @@
         if self.watch.as_mut().is_some_and(DiscoveryWatch::take_interrupted) {
             self.registry.watch_lost();
         }
-        self.pass_on_lease(context);
+        self.report_lease(context);
     }
 
     /// The registry's changes, restricted by routing where it is configured.
@@ -206,7 +206,7 @@
     }
 
     /// Reports to the query engine until when the list is valid, if its confirmation has changed.
-    fn pass_on_lease<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
+    fn report_lease<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
         let (Some(watch), Some(lease)) = (&self.watch, &mut self.lease) else { return };
         let confirmation = watch.confirmation();
         if lease.reported.replace(confirmation) == Some(confirmation) {
@@ -233,10 +233,14 @@
     fn release_by_newer_list<Q, V>(&mut self, context: &mut FrontendContext<'_, Q, V>) {
         let Some(hints) = &mut self.hint_exchange else { return };
         let changes = hints.on_list_version(&self.registry);
-        self.pass_on_hinted(changes, context);
+        self.propagate_hinted_changes(changes, context);
     }
 
-    fn pass_on_hinted<Q, V>(&mut self, changes: Vec<NodeChange>, context: &mut FrontendContext<'_, Q, V>) {
+    fn propagate_hinted_changes<Q, V>(
+        &mut self,
+        changes: Vec<NodeChange>,
+        context: &mut FrontendContext<'_, Q, V>,
+    ) {
         if !changes.is_empty() {
             update_endpoints(self.manual_overrides.apply_changes(changes), context);
         }
@@ -250,7 +254,7 @@
     /// Handles a hint of other brokers on a node.
     pub fn on_hint<Q, V>(&mut self, id: &str, hints: NodeHints, context: &mut FrontendContext<'_, Q, V>) {
         let change = self.hint_exchange.as_mut().and_then(|exchange| exchange.on_hint(id, hints));
-        self.pass_on_hinted(change.into_iter().collect(), context);
+        self.propagate_hinted_changes(change.into_iter().collect(), context);
     }
 
     /// Whether a list or an operator's command has ever named this node.
@@ -319,7 +323,7 @@
     }
 
     /// The number of nodes in the list, and the number of suspended ones among them.
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn node_counts(&self) -> (usize, usize) {
         (self.registry.listed_count(), self.manual_overrides.listed_suspended())
     }
 
