--- a/tests/races/main.rs
+++ b/tests/races/main.rs
@@ -1,5 +1,6 @@
-//! What comes between two neighbouring steps of the broker: each test forces one order of events, every time, by a
-//! stand-in that holds, cuts or releases at a stated byte or event. Time-outs here only catch a hang.
+//! Races between two consecutive steps of the broker. Each test forces one order of events deterministically,
+//! with a stand-in that holds, cuts or releases a connection at a stated byte or event. Time-outs only catch
+//! a hang.
 
 mod bed;
 #[path = "../fronts/clients.rs"]
@@ -14,5 +15,5 @@
 use clients::*;
 use std::time::Duration;
 
-/// Longer than anything takes that is not hung.
-pub const HUNG: Duration = Duration::from_secs(20);
+/// Longer than any operation takes unless it hangs.
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(20);
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -1,11 +1,11 @@
-//! What other customers' settings tell, and one site's don't.
+//! Settings that some deployments have and others lack.
 
 use super::*;
 use pebbleturn_lab::standins::*;
 use std::io::Write;
 
-/// Whose a query is decides whether it is within a share. Worth past the share is below nothing here, so that the module
-/// refuses such queries whatever the load.
+/// A query counts against the quota of its owner. The worth of queries over quota is negative here, so that
+/// they are rejected whatever the load.
 #[test]
 fn query_counts_against_the_quota_of_its_tenant() {
     let script = Script::default();
@@ -28,7 +28,7 @@
     assert_eq!(ask(1, "Req-Owner: large\r\n"), "200");
     assert_eq!(ask(2, "Req-Owner: small\r\n"), "503");
     assert_eq!(ask(3, "Req-Owner: large\r\n"), "200");
-    // Of nobody known: there is no share to be past.
+    // Queries without a tenant, or of an unknown one, have no quota.
     assert_eq!(ask(4, ""), "200");
     assert_eq!(ask(5, "Req-Owner: unheard-of\r\n"), "200");
 }
