--- a/src/gossip/swim.rs
+++ b/src/gossip/swim.rs
@@ -1,13 +1,14 @@
-//! Which of the listed brokers are up: SWIM with suspicion. Free of I/O and clock.
+//! Failure detector for the listed brokers: SWIM with suspicion. Performs no I/O and reads no clock.
 //!
-//! In each interval one peer is pinged, and through others if it does not answer; one that still does not is
-//! suspected, and down once the suspicion has lasted its time. A suspected peer that learns of it refutes it
-//! under a greater incarnation. After Lifeguard, a broker that finds itself slow probes more slowly and waits
-//! longer, and a suspicion ends the sooner, the more peers share it.
+//! In each interval one peer is pinged, first directly and, if it does not answer, through other peers. A
+//! peer that does not answer those either is suspected, and counts as down when the suspicion times out. A
+//! suspected peer that learns of the suspicion refutes it with a greater incarnation. As in Lifeguard, a
+//! broker that detects that it is slow itself probes less often and waits longer, and the more brokers report
+//! a suspicion, the sooner it times out.
 //!
-//! Time in which this process did not run does not count: the local time, in which all deadlines are kept,
-//! does not advance while calls are overdue. A process that was stopped for a minute finds all peers in their
-//! former status and probes them again.
+//! Time in which this process did not run does not count: all deadlines are kept in a local time that does
+//! not advance while calls are overdue. A process that was stopped for a minute keeps the former status of
+//! all peers and probes them again.
 
 mod failure_detector;
 mod message;
@@ -23,34 +24,35 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use suspicion::Suspicion;
 
-/// How late a call may come before the time counts as one in which this process did not run.
+/// Tolerated delay of a call after its deadline. Any delay beyond it counts as time in which this process did
+/// not run.
 const STALL_THRESHOLD: Nanos = 100_000_000;
-/// Worst health score. Intervals and timeouts are multiplied by the score plus one.
+/// The worst health score. Intervals and timeouts are multiplied by the score plus one.
 const MAX_HEALTH_SCORE: u32 = 7;
-/// The stream of the random generator.
+/// The stream of the random number generator.
 const RANDOM_STREAM: u64 = 0xca02_7bd5;
 
-/// Times of the probing.
+/// Settings of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwimSettings {
     /// Time between two probes, ns.
     pub probe_interval: Nanos,
-    /// Time without an answer after which other peers are requested to ping as well, ns.
+    /// Time without an answer after which other peers are requested to ping the peer as well, ns.
     pub probe_timeout: Nanos,
-    /// How many other peers are requested to ping.
+    /// Number of other peers that are requested to ping.
     pub indirect_probes: usize,
 }
 
-/// A peer as the failure detector sees it.
+/// The failure detector's state of a peer.
 #[derive(Clone, Debug)]
 struct Peer {
     name: String,
-    /// Its incarnation; 0 if nothing was ever received of it.
+    /// Its latest known incarnation; 0 if no status of it was ever received.
     incarnation: u64,
     status: PeerStatus,
     suspicion: Option<Suspicion>,
-    /// Its last datagram had a lower incarnation than is known of it: the next one to it carries the known
-    /// one.
+    /// Whether its last datagram had a lower incarnation than the latest known one, which the datagrams to it
+    /// then carry.
     has_stale_incarnation: bool,
     removed: bool,
 }
@@ -68,7 +70,7 @@
     }
 }
 
-/// One broker's failure detector. Peers are named by their index, in the order in which they were added.
+/// The failure detector of one broker. Peers are identified by their index in the order of their addition.
 #[derive(Clone, Debug)]
 pub struct Swim {
     settings: SwimSettings,
@@ -76,14 +78,14 @@
     incarnation: u64,
     peers: Vec<Peer>,
     index_by_name: BTreeMap<String, usize>,
-    /// Peers that are still to be probed in this round.
+    /// Peers that remain to be probed in this round.
     probe_order: VecDeque<usize>,
     probe_in_flight: Option<ProbeInFlight>,
     relayed_pings: BTreeMap<u32, RelayedPing>,
-    /// In local time.
+    /// When the next probe begins, in local time.
     next_probe: Nanos,
     last_sequence: u32,
-    /// How often the status of a peer, or of this broker (`None`), is still to be sent.
+    /// Number of times that the status of a peer, or of this broker (`None`), remains to be sent.
     pending_updates: BTreeMap<Option<usize>, u32>,
     health_score: u32,
     /// Total time in which this process did not run.
@@ -94,8 +96,8 @@
 }
 
 impl Swim {
-    /// The failure detector of the broker `name`, which has these peers. `incarnation` has to be greater than
-    /// any that the broker had before, as far as it knows; `seed` is for the order of probes.
+    /// Creates the failure detector of the broker `name` with these peers. `incarnation` has to be greater
+    /// than any earlier one that the broker knows of; `seed` seeds all random choices.
     #[must_use]
     pub fn new(
         settings: SwimSettings,
@@ -125,13 +127,13 @@
         }
     }
 
-    /// This broker's incarnation.
+    /// Returns this broker's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The status of a peer.
+    /// Returns the status of a peer.
     ///
     /// # Panics
     ///
@@ -141,25 +143,25 @@
         self.peers[peer].status
     }
 
-    /// How slow this broker finds itself, from 0 (healthy) to 7.
+    /// Returns this broker's health score, from 0 (healthy) to 7 (slowest).
     #[must_use]
     pub fn health_score(&self) -> u32 {
         self.health_score
     }
 
-    /// The index of a peer.
+    /// Returns the index of a peer.
     #[must_use]
     pub fn peer_index(&self, name: &str) -> Option<usize> {
         self.index_by_name.get(name).copied()
     }
 
-    /// The number of brokers, this one included, without those removed.
+    /// Returns the number of brokers, including this one and excluding removed ones.
     #[must_use]
     pub fn cluster_size(&self) -> usize {
         1 + self.peers.iter().filter(|peer| !peer.removed).count()
     }
 
-    /// Up to `count` peers drawn at random among those that are not down, without `exclude`.
+    /// Returns up to `count` random peers that are neither down nor removed, without `exclude`.
     pub fn sample_peers(&mut self, count: usize, exclude: Option<usize>) -> Vec<usize> {
         let is_candidate = |index: &usize| {
             let peer = &self.peers[*index];
@@ -175,28 +177,28 @@
         sample
     }
 
-    /// Any peer that was not removed, drawn at random, up or not.
+    /// Returns a random peer that was not removed, whatever its status.
     pub fn any_peer(&mut self) -> Option<usize> {
         let all: Vec<usize> = (0..self.peers.len()).filter(|index| !self.peers[*index].removed).collect();
         if all.is_empty() { None } else { Some(all[self.rng.next_u32() as usize % all.len()]) }
     }
 
-    /// A random span below `limit`.
+    /// Returns a random time span below `limit`.
     pub fn jitter(&mut self, limit: Nanos) -> Nanos {
         u64::from(self.rng.next_u32()) % limit.max(1)
     }
 
-    /// The changes since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<PeerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Probes to be sent, each with the index of the peer it goes to.
+    /// Takes the probes to be sent, each with the index of the peer it goes to.
     pub fn take_probes(&mut self) -> Vec<(usize, Probe)> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// When [`Swim::tick`] is to be called next.
+    /// Returns when [`Swim::tick`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Nanos {
         self.next_local_deadline().saturating_add(self.stalled_for)
@@ -215,7 +217,7 @@
         suspicion.deadline(self.cluster_size(), self.settings.probe_interval)
     }
 
-    /// The local time: `now` without the time in which this process did not run.
+    /// Returns the local time: `now` without the time in which this process did not run.
     fn local_time(&mut self, now: Nanos) -> Nanos {
         let overdue = now.saturating_sub(self.next_deadline());
         if overdue > STALL_THRESHOLD {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Adds a peer, which must not be among the peers yet.
+    /// Adds a peer, whose name must be new.
     pub fn add_peer(&mut self, name: &str) {
         self.index_by_name.insert(name.to_owned(), self.peers.len());
         self.peers.push(Peer::new(name));
--- a/src/gossip/swim/failure_detector.rs
+++ b/src/gossip/swim/failure_detector.rs
@@ -1,21 +1,21 @@
-//! Probing: one peer is pinged in each interval, directly and then through others.
+//! Probing: one peer is pinged in each interval, first directly and then through other peers.
 
 use super::{MAX_HEALTH_SCORE, PeerStatus, Probe, Swim};
 use crate::api::Nanos;
 use rand_pcg::rand_core::Rng;
 
-/// Pings on behalf of other brokers that are in flight at most.
+/// Maximum number of pings in flight on behalf of other brokers.
 const MAX_RELAYED_PINGS: usize = 64;
-/// A peer that is down is pinged once in so many probes, beside the usual one.
+/// Period, in sequence numbers, of the additional pings to peers that are down.
 const DOWN_PEER_PROBE_PERIOD: u32 = 4;
 
-/// How far the probe of this interval has come.
+/// Progress of the probe of this interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeState {
     /// The peer was pinged and has not answered.
     AwaitingAck,
-    /// Others were requested to ping the peer as well; `reachable` of them reported that it did not answer
-    /// them.
+    /// `requested` other peers were requested to ping the peer as well; `reachable` of them reported that it
+    /// did not answer.
     AwaitingIndirectAck { requested: usize, reachable: usize },
     /// The peer answered.
     Acked,
@@ -34,19 +34,19 @@
 #[derive(Clone, Debug)]
 pub(super) struct RelayedPing {
     requester: usize,
-    /// The number that the requester gave it.
+    /// The sequence number of the request.
     sequence: u32,
     expires: Nanos,
 }
 
 impl Swim {
-    /// When the probe in flight is continued through others, in local time.
+    /// Returns when the probe in flight is continued through other peers, in local time.
     pub(super) fn indirect_probe_deadline(&self) -> Option<Nanos> {
         let probe = self.probe_in_flight.as_ref().filter(|probe| probe.state == ProbeState::AwaitingAck)?;
         Some(probe.started + self.scaled_by_health(self.settings.probe_timeout))
     }
 
-    /// When the first relayed ping expires, in local time.
+    /// Returns when the first relayed ping expires, in local time.
     pub(super) fn relay_deadline(&self) -> Option<Nanos> {
         self.relayed_pings.values().map(|ping| ping.expires).min()
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Ends the probe of the last interval: a peer that did not answer it is suspected.
+    /// Ends the probe of the last interval. A peer that did not answer it is suspected.
     pub(super) fn finish_probe(&mut self, now: Nanos) {
         let Some(probe) = self.probe_in_flight.take() else { return };
         match probe.state {
@@ -82,7 +82,7 @@
                 self.health_score = self.health_score.saturating_sub(1);
                 return;
             }
-            // None of the relays answered either: it may be this broker that is cut off.
+            // None of the relays answered either, so this broker itself may be disconnected.
             ProbeState::AwaitingIndirectAck { requested: 1.., reachable: 0 } => {
                 self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The next peer in an order that is shuffled anew for each round over all of them.
+    /// Returns the next peer to probe. Each round covers all peers in a newly shuffled order.
     fn next_peer_to_probe(&mut self) -> Option<usize> {
         for _ in 0..=self.peers.len() {
             if self.probe_order.is_empty() {
@@ -131,7 +131,7 @@
             }
             let index = self.probe_order.pop_front()?;
             let peer = &self.peers[index];
-            // A peer that was never reached is probed as well: at the start these are all of them.
+            // A peer of which nothing is known is probed as well; at the start these are all peers.
             let is_known_down = peer.status == PeerStatus::Down && peer.incarnation > 0;
             if !peer.removed && !is_known_down {
                 return Some(index);
@@ -148,7 +148,8 @@
         self.probe_order.extend(order);
     }
 
-    /// A datagram came from the peer `from` under this incarnation: it is alive, and its probe is answered.
+    /// Handles a datagram from the peer `from` with this incarnation: marks the peer as alive and answers its
+    /// probe.
     pub fn on_message(&mut self, from: usize, incarnation: u64, probe: &Probe, now: Nanos) {
         let now = self.local_time(now);
         self.peers[from].has_stale_incarnation = incarnation < self.peers[from].incarnation;
--- a/src/gossip/swim/message.rs
+++ b/src/gossip/swim/message.rs
@@ -1,25 +1,25 @@
-//! What brokers send each other to find out which of them are up, and what the failure detector reports.
+//! Messages of the failure detector, and the events that it reports.
 
 use crate::api::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// The status of a peer. Within one incarnation, the later one in this order wins.
+/// The status of a peer. Within one incarnation, a later variant supersedes an earlier one.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PeerStatus {
     /// It answers probes.
     Alive,
-    /// It did not answer a probe, and may still refute the suspicion.
+    /// It did not answer a probe, and can still refute the suspicion.
     Suspect,
     /// It did not refute a suspicion in time, or nothing was ever received from it.
     Down,
 }
 
-/// What one broker reports of the status of another.
+/// A report of a broker's status.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct StatusUpdate {
     /// The broker that the update is about.
     pub name: String,
-    /// The incarnation that it is about.
+    /// The incarnation that the update is about.
     pub incarnation: u64,
     /// The reported status.
     pub status: PeerStatus,
@@ -28,22 +28,22 @@
 /// The purpose of a datagram.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum Probe {
-    /// It only carries status updates and facts.
+    /// Carries status updates and facts only.
     #[serde(rename = "News")]
     Gossip,
-    /// Asks for an [`Probe::Ack`].
+    /// Requests an [`Probe::Ack`].
     Ping {
         /// The number that the answer repeats.
         #[serde(rename = "n")]
         sequence: u32,
     },
-    /// The pinged peer answers.
+    /// Answers a ping.
     Ack {
         /// The number of the ping.
         #[serde(rename = "n")]
         sequence: u32,
     },
-    /// Asks the receiver to ping another peer on the sender's behalf.
+    /// Requests that the receiver ping another peer on behalf of the sender.
     #[serde(rename = "Ask")]
     PingRequest {
         /// The number that the answer repeats.
@@ -52,7 +52,7 @@
         /// The peer to ping.
         name: String,
     },
-    /// The receiver of a [`Probe::PingRequest`] is up, but the peer did not answer it in time.
+    /// Answers a [`Probe::PingRequest`] if the other peer did not answer in time; shows that the relay is up.
     Nack {
         /// The number of the request.
         #[serde(rename = "n")]
@@ -60,17 +60,18 @@
     },
 }
 
-/// A change that the failure detector noticed. Peers are named by their index.
+/// An event of the failure detector. Peers are identified by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
     /// The peer is up.
     Up(usize),
-    /// The peer did not answer.
+    /// The peer did not answer a probe.
     Suspected(usize),
     /// The peer is down.
     Down(usize),
-    /// Others took this broker for suspect or down; it refuted that under a greater incarnation.
+    /// Another broker reported this broker as suspect or down, and this broker refuted it with a greater
+    /// incarnation.
     Refuted,
-    /// This process was called so many nanoseconds later than the deadline that it had asked for.
+    /// The failure detector was called this number of nanoseconds after its deadline.
     Stalled(Nanos),
 }
--- a/src/gossip/swim/status_updates.rs
+++ b/src/gossip/swim/status_updates.rs
@@ -1,11 +1,11 @@
-//! Status updates of brokers: which are believed, and which are passed on to whom.
+//! Status updates about brokers: which ones are applied, and which ones are sent to which peer.
 
 use super::suspicion::Suspicion;
 use super::{PeerEvent, PeerStatus, StatusUpdate, Swim};
 use crate::api::Nanos;
 use crate::replication::rumor_queue::dissemination_rounds;
 
-/// Bytes of an encoded status update beside the name: incarnation, status and the length of the name.
+/// Bytes of an encoded status update in addition to the name: incarnation, status and length of the name.
 const UPDATE_OVERHEAD_BYTES: usize = 13;
 
 fn encoded_bytes(update: &StatusUpdate) -> usize {
@@ -13,8 +13,8 @@
 }
 
 impl Swim {
-    /// Applies status updates that the peer `from` sent. One that takes this broker for suspect or down is
-    /// refuted.
+    /// Applies status updates received from the peer `from`. An update that reports this broker as suspect or
+    /// down is refuted.
     pub fn on_status_updates(&mut self, from: &str, updates: &[StatusUpdate], now: Nanos) {
         let now = self.local_time(now);
         for update in updates {
@@ -27,16 +27,16 @@
     }
 
     fn refute_if_needed(&mut self, update: &StatusUpdate) {
-        let is_doubted = update.status != PeerStatus::Alive && update.incarnation >= self.incarnation;
-        // A greater incarnation than the present one: this broker's clock or disk was set back.
-        if is_doubted || update.incarnation > self.incarnation {
+        let reports_failure = update.status != PeerStatus::Alive && update.incarnation >= self.incarnation;
+        // An incarnation greater than the present one means that this broker's clock or disk was set back.
+        if reports_failure || update.incarnation > self.incarnation {
             self.incarnation = update.incarnation.saturating_add(1);
             self.pending_updates.insert(None, dissemination_rounds(self.cluster_size()));
             self.events.push(PeerEvent::Refuted);
         }
     }
 
-    /// Believes a status if it supersedes what is known. `reporter` is whoever suspects the peer.
+    /// Applies a status if it supersedes the known one. `reporter` is the broker that suspects the peer.
     pub(super) fn apply_status(
         &mut self,
         index: usize,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The update about a peer, or about this broker.
+    /// Returns the update about a peer, or about this broker (`None`).
     fn status_update(&self, about: Option<usize>) -> StatusUpdate {
         let (name, incarnation, status) = match about {
             None => (&self.name, self.incarnation, PeerStatus::Alive),
@@ -84,8 +84,9 @@
         StatusUpdate { name: name.clone(), incarnation, status }
     }
 
-    /// Status updates for a datagram to the peer `to`, as many as fit into `max_bytes`: first the one that
-    /// the peer has to refute, then those that were sent least often. Each counts as sent once more.
+    /// Returns status updates for a datagram to the peer `to`, as many as fit into `max_bytes`: first the one
+    /// that the peer has to refute, then those with the most transmissions left. Each of the latter has one
+    /// transmission less afterwards.
     pub fn updates_for(&mut self, to: usize, max_bytes: usize) -> Vec<StatusUpdate> {
         let mut order: Vec<(u32, Option<usize>)> =
             self.pending_updates.iter().map(|(about, left)| (*left, *about)).collect();
@@ -114,7 +115,7 @@
         updates
     }
 
-    /// The status of all peers that were ever reached, for a peer that has just connected.
+    /// Returns the status of all peers whose incarnation is known and that were not removed; sent in a hello.
     #[must_use]
     pub fn all_updates(&self) -> Vec<StatusUpdate> {
         let is_known = |index: &usize| self.peers[*index].incarnation > 0 && !self.peers[*index].removed;
--- a/src/gossip/swim/suspicion.rs
+++ b/src/gossip/swim/suspicion.rs
@@ -1,13 +1,13 @@
-//! How long a peer stays suspected before it counts as down.
+//! Duration of a suspicion, after which the peer counts as down.
 
 use crate::api::Nanos;
 use std::collections::BTreeSet;
 
-/// The shortest suspicion, in probe intervals for each decade of brokers.
+/// Minimum duration of a suspicion, in probe intervals per decade (log10) of the cluster size.
 const MIN_INTERVALS_PER_DECADE: f64 = 4.0;
-/// How many times the shortest suspicion one lasts that no peer has confirmed.
+/// Duration of an unconfirmed suspicion, as a multiple of the minimum.
 const MAX_DURATION_MULTIPLE: f64 = 6.0;
-/// Confirmations that shorten a suspicion to its minimum.
+/// Number of confirmations that shorten a suspicion to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
 
 /// A suspicion of one peer.
@@ -19,17 +19,18 @@
 }
 
 impl Suspicion {
-    /// A suspicion that begins now.
+    /// Creates a suspicion that begins now.
     pub(super) fn new(reporter: Option<&str>, now: Nanos) -> Suspicion {
         Suspicion { started: now, reporters: reporter.into_iter().map(str::to_owned).collect() }
     }
 
-    /// Counts a report of one more broker. True if that broker had not reported it and reports still count.
+    /// Records a report of the suspicion by a broker. Returns true if that broker had not reported it and the
+    /// limit of reports was not reached.
     pub(super) fn confirm(&mut self, reporter: &str) -> bool {
         self.reporters.len() < MAX_CONFIRMATIONS + 1 && self.reporters.insert(reporter.to_owned())
     }
 
-    /// When the peer counts as down. The more brokers share the suspicion, the sooner.
+    /// Returns when the peer counts as down. The more brokers report the suspicion, the sooner.
     pub(super) fn deadline(&self, cluster_size: usize, probe_interval: Nanos) -> Nanos {
         let decades = (cluster_size as f64).log10().max(1.0);
         let shortest = MIN_INTERVALS_PER_DECADE * decades * probe_interval as f64;
