--- a/src/gossip/codec.rs
+++ b/src/gossip/codec.rs
@@ -1,7 +1,7 @@
-//! The frames that brokers exchange: a header with version and checksum, then a body in postcard.
+//! Frames exchanged by brokers: a header with version and checksum, followed by a body encoded with postcard.
 //!
-//! Two versions are understood, so that a cluster can be upgraded broker by broker: each frame names the
-//! latest version that its sender reads, and is answered in the latest version that both read.
+//! Two versions are supported, so that a cluster can be upgraded one broker at a time: each frame states the
+//! latest version that its sender reads, and is answered in the latest version that both sides read.
 
 use super::swim::{Probe, StatusUpdate};
 use crate::replication::Fact;
@@ -11,13 +11,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The first version, whose datagrams carry no Merkle root.
+/// The first frame version, whose datagrams carry no Merkle root.
 pub const FIRST_VERSION: u8 = 1;
-/// The latest version.
+/// The latest frame version.
 pub const LATEST_VERSION: u8 = 2;
-/// Largest datagram in bytes: it fits an Ethernet frame, with room for the headers of tunnels.
+/// Maximum size of a datagram in bytes: fits an Ethernet frame, with room for tunnel headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Largest frame on a connection in bytes, without its length prefix.
+/// Maximum size in bytes of a frame on a connection, without its length prefix.
 pub const MAX_FRAME_BYTES: usize = 60 * 1024;
 
 const MAGIC: &[u8; 3] = b"PBT";
@@ -31,7 +31,7 @@
 const HEADER_BYTES: usize = 9;
 /// Length of the prefix that holds a frame's length on a connection.
 const LENGTH_PREFIX_BYTES: usize = 4;
-/// Room that is allocated for a frame at first.
+/// Initial capacity in bytes of the buffer that a frame is encoded into.
 const INITIAL_FRAME_CAPACITY: usize = 256;
 
 /// How a frame is carried.
@@ -45,34 +45,34 @@
 /// The broker that sent a frame.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Sender {
-    /// The hash of its cluster's name, see [`cluster_id`].
+    /// The hash of its cluster's name; see [`cluster_id`].
     #[serde(rename = "cluster")]
     pub cluster_id: u64,
     /// Its name.
     pub name: String,
-    /// Its process.
+    /// The origin of its process.
     pub origin: Origin,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The latest version of frames that it reads.
+    /// The latest frame version that it reads.
     #[serde(rename = "reads")]
     pub latest_version: u8,
 }
 
-/// The hash of a cluster's name.
+/// Returns the hash of a cluster's name.
 #[must_use]
 pub fn cluster_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// What is sent by datagram: a probe, with status updates and facts piggybacked on it.
+/// A datagram: a probe with piggybacked status updates and facts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// The broker that sent it.
     pub sender: Sender,
     /// The probe.
     pub probe: Probe,
-    /// Status updates of brokers.
+    /// Status updates about brokers.
     pub status_updates: Vec<StatusUpdate>,
     /// Facts that are new to the sender.
     pub facts: Vec<Fact>,
@@ -101,14 +101,14 @@
     facts: Vec<Fact>,
 }
 
-/// What is sent on a connection.
+/// A frame on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum StreamFrame {
-    /// The first frame of either side.
+    /// The first frame that each side sends.
     Hello {
         /// The broker that sent it.
         sender: Sender,
-        /// All that it knows of the status of others.
+        /// The status of all other brokers that it knows.
         #[serde(rename = "rumours")]
         status_updates: Vec<StatusUpdate>,
     },
@@ -117,22 +117,22 @@
     Sync(SyncMessage),
 }
 
-/// Why bytes are not a frame that can be read.
+/// Why bytes can't be decoded as a frame.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A frame of so many bytes is shorter than its header or longer than allowed.
+    /// The frame, whose length in bytes is given, is shorter than its header or longer than allowed.
     #[error("a frame of {0} bytes is shorter than its header or longer than allowed")]
     InvalidLength(usize),
-    /// The magic or the kind of frame in the header is another one.
-    #[error("the header is not that of a frame of this kind")]
+    /// The header has another magic or another kind of frame.
+    #[error("the header has an unknown magic or another kind of frame")]
     UnknownFormat,
-    /// The frame has a version that is not read here.
+    /// The frame has a version that this broker does not read.
     #[error("frame version {0} is not supported")]
     UnsupportedVersion(u8),
-    /// Version and body don't match the checksum in the header.
+    /// The kind, version and body of the frame don't match the checksum in the header.
     #[error("the frame's checksum does not match")]
     ChecksumMismatch,
-    /// The body can't be decoded, or bytes follow it.
+    /// The body can't be decoded, or is followed by further bytes.
     #[error("the frame's body can't be decoded")]
     MalformedBody,
 }
@@ -141,7 +141,7 @@
     let mut frame = Vec::with_capacity(INITIAL_FRAME_CAPACITY);
     frame.extend_from_slice(MAGIC);
     frame.extend_from_slice(&[kind as u8, version, 0, 0, 0, 0]);
-    // Only a sequence of unknown length could fail to be written into memory, and there is none.
+    // Encoding into memory fails only for sequences of unknown length, and no body contains one.
     frame = postcard::to_extend(body, frame).unwrap_or_default();
     if frame.len() >= HEADER_BYTES {
         let sum = checksum(&frame);
@@ -150,7 +150,7 @@
     frame
 }
 
-/// The checksum over version and body.
+/// Returns the checksum of a frame's kind, version and body.
 fn checksum(frame: &[u8]) -> [u8; 4] {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&frame[KIND_OFFSET..CHECKSUM_OFFSET]);
@@ -158,8 +158,8 @@
     hasher.finalize().to_le_bytes()
 }
 
-/// Checks the header of a frame, and gives its version and body.
-fn open_frame(
+/// Verifies the header of a frame, and returns the frame's version and body.
+fn verify_frame(
     kind: FrameKind,
     frame: &[u8],
     max_bytes: usize,
@@ -189,7 +189,7 @@
 }
 
 impl Datagram {
-    /// The datagram's bytes in the given version; in the first one if it has no root.
+    /// Encodes the datagram in the given version, or in the first one if it has no root.
     #[must_use]
     pub fn encode(self, version: u8) -> Vec<u8> {
         let Datagram { sender, probe, status_updates, facts, root } = self;
@@ -205,13 +205,13 @@
         }
     }
 
-    /// Reads a datagram of a version up to `latest_version`.
+    /// Decodes a datagram of a version up to `latest_version`.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] if the bytes are not one whole, undamaged datagram of such a version.
+    /// [`FrameError`] if the bytes are not exactly one complete, intact datagram of such a version.
     pub fn decode(bytes: &[u8], latest_version: u8) -> Result<Datagram, FrameError> {
-        let (version, body) = open_frame(FrameKind::Datagram, bytes, MAX_DATAGRAM_BYTES, latest_version)?;
+        let (version, body) = verify_frame(FrameKind::Datagram, bytes, MAX_DATAGRAM_BYTES, latest_version)?;
         if version == FIRST_VERSION {
             let DatagramV1 { sender, probe, status_updates, facts } = decode_body(body)?;
             return Ok(Datagram { sender, probe, status_updates, facts, root: None });
@@ -222,7 +222,7 @@
 }
 
 impl StreamFrame {
-    /// The frame's bytes behind their length prefix. Frames on a connection are the same in both versions.
+    /// Encodes the frame after its length prefix. Frames on a connection are the same in both versions.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let frame = encode_frame(FrameKind::Stream, FIRST_VERSION, self);
@@ -232,23 +232,23 @@
         bytes
     }
 
-    /// Reads a frame without its length prefix.
+    /// Decodes a frame without its length prefix.
     ///
     /// # Errors
     ///
-    /// [`FrameError`] if the bytes are not one whole, undamaged frame.
+    /// [`FrameError`] if the bytes are not exactly one complete, intact frame.
     pub fn decode(frame: &[u8]) -> Result<StreamFrame, FrameError> {
-        let (_, body) = open_frame(FrameKind::Stream, frame, MAX_FRAME_BYTES, LATEST_VERSION)?;
+        let (_, body) = verify_frame(FrameKind::Stream, frame, MAX_FRAME_BYTES, LATEST_VERSION)?;
         decode_body(body)
     }
 }
 
-/// Where the first frame in these bytes of a connection ends, its length prefix included; `None` until all of
-/// it is there.
+/// Returns the end of the first frame in bytes received on a connection, including its length prefix; `None`
+/// while the frame is incomplete.
 ///
 /// # Errors
 ///
-/// [`FrameError::InvalidLength`] if the prefix holds a length that no frame has.
+/// [`FrameError::InvalidLength`] if the length in the prefix is outside the limits of a frame.
 pub fn frame_end(bytes: &[u8]) -> Result<Option<usize>, FrameError> {
     let Some(prefix) = bytes.first_chunk::<LENGTH_PREFIX_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*prefix) as usize;
