--- a/src/gossip/input_limits.rs
+++ b/src/gossip/input_limits.rs
@@ -1,4 +1,4 @@
-//! The rate limit of each peer's datagrams, and the accounting of dropped input.
+//! Rate limit for the datagrams of each peer, and counters of dropped input.
 
 use crate::api::Nanos;
 use std::collections::BTreeMap;
@@ -6,17 +6,17 @@
 
 /// Length of the window over which datagrams are counted.
 const RATE_WINDOW: Nanos = 1_000_000_000;
-/// Datagrams that are accepted from one peer in a window. Those beyond are dropped unread.
+/// Maximum number of datagrams accepted from one peer in a window. Excess datagrams are dropped undecoded.
 const MAX_DATAGRAMS_PER_WINDOW: u32 = 200;
-/// Shortest time between two notifications of one reason.
+/// Minimum time between two notifications with the same reason.
 const NOTIFICATION_INTERVAL: Nanos = 60_000_000_000;
 
 /// Why input was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// The operator's file does not list the address that it came from.
+    /// The operator's file does not list the address that the input came from.
     UnlistedAddress,
-    /// The bytes are not a frame.
+    /// The bytes are not a valid frame.
     MalformedFrame,
     /// The frame has a later version than this program reads.
     UnsupportedVersion,
@@ -30,12 +30,13 @@
     RemovedSender,
     /// The sender exceeds its rate limit.
     RateLimited,
-    /// A fact can't be joined with the store.
+    /// The store rejected a fact.
     InvalidFact,
-    /// A message came out of turn, or there are too many connections.
+    /// A message was out of sequence, or there are too many connections.
     ProtocolViolation,
 }
 
+// The admin endpoint writes these texts as the keys of its drop counts, so they have to stay unchanged.
 impl fmt::Display for DropReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -61,7 +62,7 @@
 }
 
 impl DatagramRateLimit {
-    /// Counts a datagram. False if it exceeds the limit.
+    /// Counts a datagram. Returns false if it exceeds the limit.
     pub(super) fn admit(&mut self, now: Nanos) -> bool {
         if now >= self.window_start + RATE_WINDOW {
             *self = DatagramRateLimit { window_start: now, datagrams: 0 };
@@ -77,14 +78,14 @@
     last_notified: Nanos,
 }
 
-/// How often input was dropped, by reason.
+/// Number of drops by reason.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DropCounts {
     by_reason: BTreeMap<DropReason, DropCount>,
 }
 
 impl DropCounts {
-    /// Counts a drop. True if a notification is due.
+    /// Counts a drop. Returns true if a notification is due.
     pub(super) fn record(&mut self, reason: DropReason, now: Nanos) -> bool {
         let entry = self.by_reason.entry(reason).or_default();
         entry.count += 1;
--- a/src/gossip/mod.rs
+++ b/src/gossip/mod.rs
@@ -1,13 +1,13 @@
-//! Gossip between the brokers of a cluster: which of them are up, and replicated state that reaches all of
-//! them. Free of I/O and clock.
+//! Gossip between the brokers of a cluster: detects which of them are up, and replicates state to all of
+//! them. Performs no I/O and reads no clock.
 //!
 //! - [`swim`] detects which brokers are up;
-//! - [`codec`] encodes the frames that brokers exchange;
-//! - [`node`] ties both to the replicated store: what is sent to whom, when two stores are synchronized, and
-//!   when this broker has caught up;
+//! - [`codec`] encodes and decodes the frames that brokers exchange;
+//! - [`node`] connects both with the replicated store: it selects what is sent to which peer, and decides
+//!   when two stores are synchronized and when this broker has caught up;
 //! - [`peer_table`] holds the listed peers;
-//! - [`input_limits`] limits and counts what is dropped;
-//! - [`notification`] is what the node reports to its caller.
+//! - [`input_limits`] limits the rate of datagrams and counts dropped input;
+//! - [`notification`] defines the events that the node reports to its caller.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/gossip/notification.rs
+++ b/src/gossip/notification.rs
@@ -1,43 +1,43 @@
-//! What a node reports to its caller.
+//! Events and status that a node reports to its caller.
 
 use super::input_limits::DropReason;
 use crate::api::Nanos;
 use crate::replication::FactKey;
 use std::net::SocketAddr;
 
-/// Something that operators may want to know of. Peers are named as in the operator's file.
+/// An event of interest to operators. Peers have their names from the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notification {
     /// The peer is up.
     PeerUp(String),
-    /// The peer does not answer.
+    /// The peer does not answer probes.
     PeerSuspected(String),
     /// The peer is down.
     PeerDown(String),
-    /// Others took this broker for suspect or down; it refuted that.
+    /// Another broker reported this broker as suspect or down, and this broker refuted it.
     Refuted,
-    /// This process did not run for so many nanoseconds.
+    /// This process did not run for this time in nanoseconds.
     Stalled(Nanos),
-    /// Input from this address was dropped. Reported at most once a minute for each reason.
+    /// Input from this address was dropped. Reported at most once per minute for each reason.
     Dropped(DropReason, SocketAddr),
-    /// This broker's store was brought up to date with that of the peer.
+    /// This broker has caught up: a synchronization with this peer is complete.
     CaughtUp(String),
-    /// No peer can be reached: this broker goes by its own store.
+    /// No peer can be reached; this broker relies on its own store.
     Isolated,
-    /// Another process used this one's origin, which was replaced.
+    /// Another process used the origin of this one, which now has a new origin.
     OriginReplaced,
-    /// This broker was removed from the cluster, and sends nothing any more.
+    /// This broker was removed from the cluster and no longer sends anything.
     RemovedFromCluster,
-    /// The commands recorded under this key have changed.
+    /// The commands recorded under this key changed.
     FactChanged(FactKey),
-    /// So many facts came at once that were missed here.
+    /// This number of facts that this broker had missed was received in one batch.
     FactsReceived(usize),
 }
 
 /// Whether this broker's store is up to date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncStatus {
-    /// No session with a peer has been completed yet.
+    /// No session with a peer has been completed since the start, or since a long stall of this process.
     CatchingUp,
     /// A session with a peer has been completed.
     CaughtUp,
--- a/src/gossip/peer_table.rs
+++ b/src/gossip/peer_table.rs
@@ -1,4 +1,4 @@
-//! The peers that the operator's file lists, or has listed before, and what each of them last sent of itself.
+//! The peers that the operator's file lists or used to list, with the state last received from each of them.
 
 use super::codec::FIRST_VERSION;
 use super::input_limits::DatagramRateLimit;
@@ -9,18 +9,18 @@
 use std::net::{IpAddr, SocketAddr};
 use std::ops::{Index, IndexMut};
 
-/// A listed peer as the admin endpoint shows it.
+/// State of a listed peer for the admin endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerInfo<'a> {
     /// Its name in the operator's file.
     pub name: &'a str,
     /// Its address in the operator's file.
     pub address: SocketAddr,
-    /// Whether it is up.
+    /// Its status in the failure detector.
     pub status: PeerStatus,
-    /// Whether its store is the same as this broker's; `None` if it never sent its Merkle root.
+    /// Whether its store equals this broker's; `None` if no Merkle root was received from it.
     pub is_in_sync: Option<bool>,
-    /// Time since anything was received from it, ns; `None` if nothing ever was.
+    /// Time since anything was received from it, ns; `None` if nothing was.
     pub since_last_received: Option<Nanos>,
 }
 
@@ -29,17 +29,17 @@
 pub(super) struct Peer {
     pub(super) name: String,
     pub(super) address: SocketAddr,
-    /// Its process.
+    /// The origin of its process.
     pub(super) origin: Option<Origin>,
-    /// The latest version of frames that it reads.
+    /// The latest frame version that it reads.
     pub(super) latest_version: u8,
-    /// The Merkle root that it sent last.
+    /// The Merkle root last received from it.
     pub(super) root: Option<u64>,
-    /// Since when that root differs from this broker's.
+    /// When that root began to differ from this broker's; `None` if it is the same.
     pub(super) differs_since: Option<Nanos>,
-    /// When a datagram or a hello came from it last.
+    /// When a datagram or a hello was last received from it.
     pub(super) last_received: Option<Nanos>,
-    /// When this broker last completed a session with it; at first when it was added.
+    /// When this broker last completed a session with it; until then, when it was added.
     pub(super) last_synced: Nanos,
     pub(super) rate_limit: DatagramRateLimit,
     /// Whether the operator's file lists it now.
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Notes the root that it sent, and whether that is this broker's own.
+    /// Records the Merkle root received from the peer, and whether it equals this broker's.
     pub(super) fn record_root(&mut self, root: u64, is_same: bool, now: Nanos) {
         self.root = Some(root);
         self.differs_since = if is_same { None } else { self.differs_since.or(Some(now)) };
     }
 }
 
-/// All peers, by index and by address. Indexes stay valid: peers are never taken out.
+/// All peers, by index and by address. Indexes stay valid because peers are never deleted.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PeerTable {
     peers: Vec<Peer>,
@@ -84,7 +84,7 @@
         table
     }
 
-    /// Adds a listed peer. [`PeerTable::index_addresses`] is to follow.
+    /// Adds a listed peer. The caller has to call [`PeerTable::index_addresses`] afterwards.
     pub(super) fn push(&mut self, name: &str, address: SocketAddr, now: Nanos) {
         self.peers.push(Peer::new(name, address, now));
     }
@@ -94,12 +94,13 @@
         self.peers.iter_mut().for_each(|peer| peer.listed = false);
     }
 
-    /// Marks a peer as listed at this address. [`PeerTable::index_addresses`] is to follow.
+    /// Marks a peer as listed at this address. The caller has to call [`PeerTable::index_addresses`]
+    /// afterwards.
     pub(super) fn relist(&mut self, index: usize, address: SocketAddr) {
         let peer = &mut self.peers[index];
         peer.listed = true;
         if peer.address != address {
-            // Another address may be another process: nothing is known of that one.
+            // Another address may belong to another process, whose state is unknown.
             peer.address = address;
             peer.origin = None;
             peer.root = None;
@@ -108,18 +109,18 @@
         }
     }
 
-    /// Works out anew which peer is listed at which address.
+    /// Rebuilds the index of listed peers by address.
     pub(super) fn index_addresses(&mut self) {
         let listed = self.peers.iter().enumerate().filter(|(_, peer)| peer.listed);
         self.index_by_address = listed.map(|(index, peer)| (peer.address, index)).collect();
     }
 
-    /// The peer that is listed at this address.
+    /// Returns the index of the peer that is listed at this address.
     pub(super) fn index_at(&self, address: SocketAddr) -> Option<usize> {
         self.index_by_address.get(&address).copied()
     }
 
-    /// Whether a peer is listed at this IP address, whatever its port.
+    /// Returns whether a peer is listed at this IP address on any port.
     pub(super) fn lists_ip(&self, ip: IpAddr) -> bool {
         self.peers.iter().any(|peer| peer.listed && peer.address.ip() == ip)
     }
