--- a/src/gossip/node.rs
+++ b/src/gossip/node.rs
@@ -1,7 +1,7 @@
-//! One broker's part in the gossip of its cluster: the state machine that its caller feeds with datagrams,
-//! frames and time, and from which it takes outputs and notifications. Free of I/O and clock.
+//! The gossip state machine of one broker. Its caller passes in datagrams, frames and the time, and takes
+//! outputs and notifications from it. Performs no I/O and reads no clock.
 //!
-//! - `dissemination` sends probes, status updates and facts by datagram, and merges those that come;
+//! - `dissemination` sends probes, status updates and facts by datagram, and handles those received;
 //! - `sync_driver` runs anti-entropy sessions over connections.
 
 mod dissemination;
@@ -24,36 +24,36 @@
 use sync_driver::SyncDriver;
 
 const MILLISECOND: Nanos = 1_000_000;
-/// Longest time between two garbage collections of the store.
+/// Maximum time between two garbage collections of the store.
 const MAX_GARBAGE_COLLECTION_INTERVAL: Nanos = 60_000 * MILLISECOND;
-/// Shortest time between two garbage collections of the store.
+/// Minimum time between two garbage collections of the store.
 const MIN_GARBAGE_COLLECTION_INTERVAL: Nanos = 100 * MILLISECOND;
 
-/// A quarter of the time for which commands are retained, within limits.
+/// Returns a quarter of the time for which commands are retained, clamped to the limits above.
 fn garbage_collection_interval(limits: &StoreLimits) -> Nanos {
     MAX_GARBAGE_COLLECTION_INTERVAL.min(limits.retention / 4).max(MIN_GARBAGE_COLLECTION_INTERVAL)
 }
 
-/// How a broker takes part in its cluster.
+/// Settings of a broker's gossip.
 #[derive(Clone, Debug)]
 pub struct GossipSettings {
-    /// The cluster's name. Input of brokers of another cluster is dropped.
+    /// The cluster's name. Input from brokers of another cluster is dropped.
     pub cluster: String,
     /// This broker's name.
     pub name: String,
     /// Names and addresses of the other brokers.
     pub peers: Vec<(String, SocketAddr)>,
-    /// Times of the failure detector.
+    /// Settings of the failure detector.
     pub swim: SwimSettings,
-    /// How much the store holds, and how long.
+    /// Capacity and retention time of the store.
     pub store_limits: StoreLimits,
-    /// The latest version of frames that is read and written.
+    /// The latest frame version that is read and written.
     pub latest_version: u8,
     /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// What the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
@@ -65,7 +65,7 @@
     },
     /// Open a connection.
     Dial {
-        /// The number that the connection gets.
+        /// The number that this broker assigns to the connection.
         stream: u64,
         /// Its destination.
         to: SocketAddr,
@@ -77,40 +77,40 @@
         /// One frame with its length prefix.
         bytes: Vec<u8>,
     },
-    /// Close a connection once all is written.
+    /// Close a connection after all pending bytes are written.
     Close {
         /// The connection.
         stream: u64,
     },
 }
 
-/// One broker of a cluster.
+/// The gossip state of one broker of a cluster.
 #[derive(Clone, Debug)]
 pub struct GossipNode {
     settings: GossipSettings,
     swim: Swim,
     store: StateStore,
     rumor_queue: RumorQueue,
-    /// With the same indexes as in `swim`.
+    /// Uses the same indexes as `swim`.
     peers: PeerTable,
     sync: SyncDriver,
     next_gossip: Nanos,
     next_garbage_collection: Nanos,
-    /// Keys that changed and are not on disk.
+    /// Keys of changed facts that are not on disk yet.
     unpersisted: BTreeSet<FactKey>,
     derived_state: DerivedState,
-    /// Keys of drains and starts of servers that came from peers.
+    /// Keys of drains and starts of servers that were received from peers or loaded from disk.
     updated_servers: VecDeque<FactKey>,
     outputs: VecDeque<Output>,
     notifications: VecDeque<Notification>,
     drop_counts: DropCounts,
-    /// This broker was removed from the cluster.
+    /// Whether this broker was removed from the cluster.
     is_removed: bool,
 }
 
 impl GossipNode {
-    /// A broker with the facts found on its disk. `incarnation` has to be greater than any that it had
-    /// before, as far as it knows.
+    /// Creates a broker's node with the facts read from its disk. `incarnation` has to be greater than any
+    /// earlier one that the broker knows of.
     #[must_use]
     pub fn new(
         settings: GossipSettings,
@@ -121,7 +121,7 @@
     ) -> GossipNode {
         let mut store = StateStore::new(origin, settings.store_limits);
         for (key, value) in persisted {
-            // A start in the future was written under another clock; discovery will report it anew.
+            // A start in the future was written under another clock: skip it, discovery reports it again.
             let _ = store.join(key, value, now);
         }
         let names: Vec<String> = settings.peers.iter().map(|(name, _)| name.clone()).collect();
@@ -149,58 +149,58 @@
         node
     }
 
-    /// The replicated store.
+    /// Returns the replicated store.
     #[must_use]
     pub fn store(&self) -> &StateStore {
         &self.store
     }
 
-    /// What follows from the store for this broker.
+    /// Returns the state that this broker derives from the store.
     #[must_use]
     pub fn derived_state(&self) -> &DerivedState {
         &self.derived_state
     }
 
-    /// Whether the store is up to date.
+    /// Returns whether the store is up to date.
     #[must_use]
     pub fn sync_status(&self) -> SyncStatus {
         self.sync.status()
     }
 
-    /// This broker's incarnation.
+    /// Returns this broker's incarnation.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.swim.incarnation()
     }
 
-    /// How slow this broker finds itself, from 0 (healthy) to 7.
+    /// Returns this broker's health score, from 0 (healthy) to 7 (slowest).
     #[must_use]
     pub fn health_score(&self) -> u32 {
         self.swim.health_score()
     }
 
-    /// The listed peers.
+    /// Returns the listed peers.
     pub fn peers(&self, now: Nanos) -> impl Iterator<Item = PeerInfo<'_>> {
         let root = self.store.tree().root();
         self.peers.iter().filter(|(_, peer)| peer.listed).map(move |(index, peer)| PeerInfo {
             name: &peer.name,
             address: peer.address,
             status: self.swim.status(index),
-            is_in_sync: peer.root.map(|theirs| theirs == root),
+            is_in_sync: peer.root.map(|peer_root| peer_root == root),
             since_last_received: peer.last_received.map(|at| now.saturating_sub(at)),
         })
     }
 
-    /// How often input was dropped, by reason.
+    /// Returns the number of drops by reason.
     pub fn drop_counts(&self) -> impl Iterator<Item = (DropReason, u64)> {
         self.drop_counts.iter()
     }
 
-    /// Records an operator's command, which supersedes all that is known here under its key.
+    /// Records an operator's command, which supersedes all commands that this broker has under the key.
     ///
     /// # Errors
     ///
-    /// [`JoinError`] if the store does not accept it; then nothing was recorded.
+    /// [`JoinError`] if the store rejects it; nothing is recorded in this case.
     pub fn record(&mut self, key: &FactKey, command: OperatorCommand, now: Nanos) -> Result<Dot, JoinError> {
         let dot = self.store.record(key, command)?;
         self.on_fact_changed(key.clone());
@@ -215,13 +215,14 @@
         }
     }
 
-    /// A fact is new here: it has to be gossiped and persisted.
+    /// Queues a fact that is new to this broker for gossip and for persistence.
     fn on_fact_changed(&mut self, key: FactKey) {
         self.rumor_queue.push(key.clone(), self.swim.cluster_size());
         self.unpersisted.insert(key);
     }
 
-    /// Up to `max` facts that are not on disk yet. They count as persisted from now on.
+    /// Takes up to `max` facts that are not on disk yet. They count as persisted from now on; see
+    /// [`GossipNode::persist_failed`].
     pub fn take_unpersisted(&mut self, max: usize) -> Vec<Fact> {
         let mut facts = Vec::new();
         while facts.len() < max
@@ -234,39 +235,39 @@
         facts
     }
 
-    /// Facts of these keys could not be written: they are still to be persisted.
+    /// Marks facts as not persisted again, because writing them failed.
     pub fn persist_failed(&mut self, keys: impl IntoIterator<Item = FactKey>) {
         self.unpersisted.extend(keys);
     }
 
-    /// Whether no fact is waiting to be persisted.
+    /// Returns whether no fact is waiting to be persisted.
     #[must_use]
     pub fn is_persisted(&self) -> bool {
         self.unpersisted.is_empty()
     }
 
-    /// The key of a drain or a start of a server that is new here.
+    /// Takes the key of the next drain or start of a server that is new to this broker.
     pub fn take_updated_server(&mut self) -> Option<FactKey> {
         self.updated_servers.pop_front()
     }
 
-    /// What is to be done next.
+    /// Takes the next output.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// What is to be reported next.
+    /// Takes the next notification.
     pub fn take_notification(&mut self) -> Option<Notification> {
         self.notifications.pop_front()
     }
 
-    /// Goes on under a new origin, where another process uses the present one.
+    /// Switches to a new origin when another process uses the present one.
     pub fn replace_origin(&mut self, origin: Origin) {
         self.store.set_origin(origin);
         self.notifications.push_back(Notification::OriginReplaced);
     }
 
-    /// Whether another process uses this one's origin.
+    /// Returns whether another process uses the origin of this one.
     #[must_use]
     pub fn has_duplicate_origin(&self) -> bool {
         self.store.has_duplicate_origin()
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Checks that a sender at the address of the peer `index` is that peer.
+    /// Checks that the sender of a frame is the listed peer `index` of this cluster.
     fn verify_sender(&self, index: usize, sender: &Sender) -> Result<(), DropReason> {
         let peer = &self.peers[index];
         if !peer.listed {
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Works out anew what follows from the facts that changed, or whose time has come.
+    /// Updates the derived state for facts that changed or expired.
     fn update_derived_state(&mut self, now: Nanos) {
         let mut keys = self.store.take_changed_keys();
         keys.extend(self.derived_state.expired_keys(now));
@@ -321,7 +322,7 @@
         }
     }
 
-    /// Nothing is sent to peers that an operator removed or that are not listed any more.
+    /// Stops sending to peers that an operator removed or that are no longer listed.
     fn update_removed_peers(&mut self) {
         let mut removed = self.derived_state.removed_brokers.clone();
         let unlisted = self.peers.iter().filter(|(_, peer)| !peer.listed);
@@ -334,7 +335,7 @@
         }
     }
 
-    /// Takes over a new list of peers from the operator's file.
+    /// Replaces the list of peers by a new one from the operator's file.
     pub fn set_peers(&mut self, listed: &[(String, SocketAddr)], now: Nanos) {
         self.peers.unlist_all();
         for (name, address) in listed {
@@ -368,7 +369,7 @@
         self.update_derived_state(now);
     }
 
-    /// When [`GossipNode::tick`] is to be called next.
+    /// Returns when [`GossipNode::tick`] has to be called next.
     #[must_use]
     pub fn next_deadline(&self, now: Nanos) -> Nanos {
         let gossip = (!self.rumor_queue.is_empty()).then_some(self.next_gossip);
--- a/src/gossip/node/dissemination.rs
+++ b/src/gossip/node/dissemination.rs
@@ -1,4 +1,4 @@
-//! What is sent and received by datagram: probes, with status updates and new facts piggybacked on them.
+//! Sends and handles datagrams: probes with piggybacked status updates and new facts.
 
 use super::{GossipNode, MILLISECOND, Output};
 use crate::api::Nanos;
@@ -12,18 +12,19 @@
 
 /// Time between two gossip rounds.
 const GOSSIP_INTERVAL: Nanos = 100 * MILLISECOND;
-/// Peers that new facts are sent to in one round.
+/// Number of peers that new facts are sent to in one round.
 const GOSSIP_FANOUT: usize = 2;
-/// Bytes of a datagram that are reserved for its header, sender and probe.
+/// Bytes of a datagram reserved for its header, sender and probe.
 const DATAGRAM_OVERHEAD_BYTES: usize = 320;
-/// Bytes of a datagram that are reserved for status updates.
+/// Bytes of a datagram reserved for status updates.
 const STATUS_UPDATES_BYTES: usize = 300;
-/// Facts that may come together and still be gossiped on. More of them are what one broker missed, not news:
-/// the Merkle roots bring them to whoever missed them too.
+/// Maximum number of facts in one message that are queued for gossip. A larger batch consists of facts that
+/// this broker missed, not of new ones; other brokers that missed them receive them by anti-entropy, which
+/// compares the Merkle roots.
 const MAX_GOSSIPED_BATCH: usize = 32;
 
 impl GossipNode {
-    /// A datagram came.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, from: SocketAddr, bytes: &[u8], now: Nanos) {
         match self.accept_datagram(from, bytes, now) {
             Ok((index, datagram)) => self.handle_datagram(index, from, &datagram, now),
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Checks a datagram, and gives it with the index of its sender.
+    /// Decodes and checks a datagram, and returns it with the index of its sender.
     fn accept_datagram(
         &mut self,
         from: SocketAddr,
@@ -63,7 +64,7 @@
         self.flush_failure_detector(now);
     }
 
-    /// Joins facts from a peer with the store.
+    /// Joins facts received from a peer with the store.
     pub(super) fn merge_facts(&mut self, facts: &[Fact], from: SocketAddr, now: Nanos) {
         let version_before = self.store.version();
         let is_gossiped = facts.len() <= MAX_GOSSIPED_BATCH;
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Sends the probes of the failure detector, and reports what it found.
+    /// Sends the pending probes of the failure detector and reports its events.
     pub(super) fn flush_failure_detector(&mut self, now: Nanos) {
         for (to, probe) in self.swim.take_probes() {
             self.send_datagram(to, probe, Vec::new());
@@ -139,7 +140,7 @@
         self.update_derived_state(now);
     }
 
-    /// Sends new facts to a few peers drawn at random.
+    /// Sends new facts to [`GOSSIP_FANOUT`] random peers if a gossip round is due.
     pub(super) fn gossip_if_due(&mut self, now: Nanos) {
         if now < self.next_gossip || self.rumor_queue.is_empty() {
             return;
@@ -157,7 +158,7 @@
     }
 }
 
-/// Why a frame that can't be read is dropped.
+/// Returns the reason for dropping a frame that can't be decoded.
 pub(super) fn drop_reason(error: FrameError) -> DropReason {
     match error {
         FrameError::UnsupportedVersion(_) => DropReason::UnsupportedVersion,
--- a/src/gossip/node/sync_driver.rs
+++ b/src/gossip/node/sync_driver.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy over connections: with whom and when this broker begins a session, and how sessions of either
-//! side go on.
+//! Anti-entropy over connections: decides when and with which peer this broker begins a session, and handles
+//! the frames of the sessions that it or a peer began.
 
 use super::dissemination::drop_reason;
 use super::{GossipNode, MILLISECOND, Output};
@@ -13,30 +13,30 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How long two stores have to differ before they are synchronized, at least. As long again, drawn at random,
-/// is added.
+/// Minimum time for which two stores differ before they are synchronized. A random time of up to the same
+/// length is added.
 const MIN_DIVERGENCE: Nanos = 1_000 * MILLISECOND;
-/// Shortest time between two sessions that this broker begins.
+/// Mean time after a session that this broker began until it checks whether the next one is due.
 const SYNC_INTERVAL: Nanos = 1_000 * MILLISECOND;
-/// The same while it catches up.
+/// As [`SYNC_INTERVAL`], while this broker catches up.
 const CATCH_UP_SYNC_INTERVAL: Nanos = 200 * MILLISECOND;
-/// Bytes of facts that one session transfers.
+/// Maximum number of bytes of facts that one session transfers.
 const SESSION_BUDGET_BYTES: usize = 1 << 20;
-/// A connection on which nothing is received for so long is closed.
+/// Time without received data after which a connection is closed.
 const STREAM_IDLE_TIMEOUT: Nanos = 5_000 * MILLISECOND;
-/// Sessions of peers that are answered at once.
+/// Maximum number of concurrent connections that peers opened.
 const MAX_INCOMING_STREAMS: usize = 4;
-/// Time after which a session is begun with a peer that sends no Merkle roots.
+/// Time since the last session after which one is begun with a peer that sends no Merkle roots.
 const ROOTLESS_SYNC_INTERVAL: Nanos = 10_000 * MILLISECOND;
-/// After so many probe intervals without a session this broker counts as isolated.
+/// Number of probe intervals without a completed session after which this broker counts as isolated.
 const ISOLATED_AFTER_PROBE_INTERVALS: u64 = 3;
-/// The shortest probe interval that counts for that.
+/// Lower bound of the probe interval in this calculation.
 const MIN_ISOLATION_INTERVAL: Nanos = 1_000 * MILLISECOND;
 
-/// How far a session that this broker began has come.
+/// Progress of a session that this broker began.
 #[derive(Clone, Debug)]
 enum OutgoingState {
-    /// The peer has not sent its hello. Then the first message of the session is sent.
+    /// The peer has not sent its hello. The first message of the session is sent when it arrives.
     AwaitingHello { first_message: SyncMessage },
     /// Messages of the session are exchanged.
     InProgress,
@@ -55,12 +55,12 @@
 /// A session that a peer began.
 #[derive(Clone, Debug)]
 struct IncomingSync {
-    /// `None` until its hello has come.
+    /// `None` until its hello is received.
     peer: Option<usize>,
     last_activity: Nanos,
 }
 
-/// The sessions in progress, and when the next one begins.
+/// The sessions in progress, and the time at which the next one begins.
 #[derive(Clone, Debug)]
 pub(super) struct SyncDriver {
     status: SyncStatus,
@@ -89,7 +89,7 @@
         self.status
     }
 
-    /// When a session begins, or a connection has been idle for too long.
+    /// Returns when the next session begins or the next connection exceeds its idle timeout.
     pub(super) fn next_deadline(&self) -> Option<Nanos> {
         let begin = self.outgoing.is_none().then_some(self.next_begin);
         let outgoing = self.outgoing.iter().map(|sync| sync.last_activity);
@@ -98,12 +98,12 @@
         begin.into_iter().chain(idle).min()
     }
 
-    /// Begins the next session before long.
+    /// Brings the next session forward to at most [`CATCH_UP_SYNC_INTERVAL`] from now.
     pub(super) fn begin_soon(&mut self, now: Nanos) {
         self.next_begin = self.next_begin.min(now + CATCH_UP_SYNC_INTERVAL);
     }
 
-    /// This process did not run for so long: what it has missed is asked for at once.
+    /// Starts catching up at once if this process did not run for longer than [`STREAM_IDLE_TIMEOUT`].
     pub(super) fn on_stall(&mut self, span: Nanos, now: Nanos) {
         if self.status == SyncStatus::CaughtUp && span > STREAM_IDLE_TIMEOUT {
             self.status = SyncStatus::CatchingUp;
@@ -116,7 +116,7 @@
         self.outgoing.as_ref().is_some_and(|sync| sync.stream == stream)
     }
 
-    /// Connections on which nothing came for too long, the outgoing one first.
+    /// Returns the connections that exceeded the idle timeout, the outgoing one first.
     fn idle_streams(&self, now: Nanos) -> Vec<u64> {
         let is_idle = |last_activity: Nanos| last_activity + STREAM_IDLE_TIMEOUT <= now;
         let outgoing = self.outgoing.iter().filter(|sync| is_idle(sync.last_activity));
@@ -126,7 +126,7 @@
 }
 
 impl GossipNode {
-    /// A peer has opened a connection, to which the caller gave this number.
+    /// Handles a connection opened by a peer, to which the caller assigned this number.
     pub fn on_accepted(&mut self, stream: u64, from: SocketAddr, now: Nanos) {
         let rejection = if !self.peers.lists_ip(from.ip()) {
             Some(DropReason::UnlistedAddress)
@@ -143,7 +143,7 @@
         self.sync.incoming.insert(stream, IncomingSync { peer: None, last_activity: now });
     }
 
-    /// A connection that this broker opened is established.
+    /// Handles the establishment of a connection that this broker opened.
     pub fn on_connected(&mut self, stream: u64, now: Nanos) {
         let hello = self.hello();
         if let Some(sync) = self.sync.outgoing.as_mut().filter(|sync| sync.stream == stream) {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn on_closed(&mut self, stream: u64, now: Nanos) {
         self.sync.incoming.remove(&stream);
         if self.sync.is_outgoing(stream) {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// A frame came on a connection, without its length prefix.
+    /// Handles a frame received on a connection, without its length prefix.
     pub fn on_frame(&mut self, stream: u64, from: SocketAddr, bytes: &[u8], now: Nanos) {
         let decoded = StreamFrame::decode(bytes).map_err(drop_reason);
         let handled = decoded.and_then(|frame| {
@@ -196,7 +196,8 @@
     fn on_hello(&mut self, index: usize, sender: &Sender, updates: &[StatusUpdate], now: Nanos) {
         let peer = &mut self.peers[index];
         peer.latest_version = sender.latest_version;
-        // Another process under that name sends datagrams: what those hold of it is what counts.
+        // If another process sends datagrams under this name, the origin and incarnation in those take
+        // precedence over the hello.
         if peer.origin.is_none_or(|origin| origin == sender.origin) {
             peer.origin = Some(sender.origin);
             peer.last_received = Some(now);
@@ -205,7 +206,7 @@
         self.swim.on_status_updates(&sender.name, updates, now);
     }
 
-    /// A frame of a session that a peer began: it is answered.
+    /// Answers a frame of a session that a peer began.
     fn on_request(
         &mut self,
         stream: u64,
@@ -233,7 +234,7 @@
         Ok(())
     }
 
-    /// The index of the peer that names itself so.
+    /// Returns the index of the peer that has the sender's name.
     fn identify(&self, sender: &Sender) -> Result<usize, DropReason> {
         let index = self.swim.peer_index(&sender.name);
         index.ok_or_else(|| {
@@ -241,7 +242,7 @@
         })
     }
 
-    /// A frame of the session that this broker began.
+    /// Handles a frame of the session that this broker began.
     fn on_reply(&mut self, from: SocketAddr, frame: StreamFrame, now: Nanos) -> Result<(), DropReason> {
         let Some(mut sync) = self.sync.outgoing.take() else { return Ok(()) };
         sync.last_activity = now;
@@ -262,7 +263,7 @@
         }
     }
 
-    /// What follows this frame in the session; `None` at its end.
+    /// Returns the message that follows this frame in the session; `None` at the end of the session.
     fn next_message(
         &mut self,
         sync: &mut OutgoingSync,
@@ -289,7 +290,7 @@
         }
     }
 
-    /// A session has ended as it should: both stores are the same, or its budget was used up.
+    /// Handles the regular end of a session: both stores are the same, or its budget is used up.
     fn finish_sync(&mut self, sync: &OutgoingSync, now: Nanos) {
         self.outputs.push_back(Output::Close { stream: sync.stream });
         let is_complete = sync.session.is_complete();
@@ -302,7 +303,7 @@
         }
         self.schedule_sync(now);
         if !is_complete {
-            // The rest follows soon, and with the same peer.
+            // Another session transfers the rest soon: the peer is marked as having differed for long enough.
             self.sync.next_begin = self.randomized_after(CATCH_UP_SYNC_INTERVAL, now);
             self.peers[sync.peer].differs_since = Some(now.saturating_sub(2 * MIN_DIVERGENCE));
         }
@@ -316,7 +317,7 @@
         self.sync.next_begin = self.randomized_after(interval, now);
     }
 
-    /// A time that lies from half to one and a half of the interval ahead.
+    /// Returns a random time between 0.5 and 1.5 times the interval from now.
     fn randomized_after(&mut self, interval: Nanos, now: Nanos) -> Nanos {
         now + interval / 2 + self.swim.jitter(interval)
     }
@@ -327,7 +328,8 @@
         }
     }
 
-    /// Begins a session if one is due, with the peer that it is due with.
+    /// Begins a session if one is due: while catching up or isolated with a random peer, otherwise with a
+    /// diverged one.
     pub(super) fn begin_sync_if_due(&mut self, now: Nanos) {
         if now < self.sync.next_begin || self.sync.outgoing.is_some() {
             return;
@@ -359,8 +361,8 @@
         self.outputs.push_back(Output::Dial { stream, to: self.peers[peer].address });
     }
 
-    /// This broker is isolated if all its peers are down, or if it has not caught up with any of them for
-    /// some time.
+    /// Sets the status to isolated if all peers are down, or if this broker has not caught up with any of
+    /// them within [`ISOLATED_AFTER_PROBE_INTERVALS`].
     fn detect_isolation(&mut self, now: Nanos) {
         let is_isolated = match self.sync.status {
             SyncStatus::CaughtUp => self.swim.sample_peers(1, None).is_empty() && !self.peers.is_empty(),
@@ -376,10 +378,11 @@
         }
     }
 
-    /// A peer that is up and whose store has differed from this one for long enough, drawn at random.
+    /// Returns a random peer that is up and due for a session: its store has differed from this one for long
+    /// enough, or it sends no Merkle roots and its last session is long enough ago.
     fn diverged_peer(&mut self, now: Nanos) -> Option<usize> {
         let min_divergence = MIN_DIVERGENCE + self.swim.jitter(MIN_DIVERGENCE);
-        // While there are rumors to send, stores differ for no other reason.
+        // While rumors are still to be sent, stores are expected to differ.
         let is_settled = self.rumor_queue.is_empty();
         let own_version = self.settings.latest_version;
         let is_due = |peer: &Peer| {
