--- a/src/hot_restart/coordination.rs
+++ b/src/hot_restart/coordination.rs
@@ -3,12 +3,14 @@
 //! Processes are numbered in the order in which they started. The limits of the deployment hold for all of
 //! them together:
 //!
-//! - The free part of the retry budget belongs to the oldest process, and passes on one window after its end.
-//! - Descriptors are leased. Each process publishes the most that it may come to hold. Once a younger process runs, an
-//!   older one lowers its lease to what it holds and a little headroom; the younger process gets what the leases of the
-//!   older ones leave. A process that runs alone leaves a reserve, so that the next one can start. A lease is lowered
-//!   before it is published, and published before it is raised.
-//! - An older process drains as soon as a younger one serves. A younger process that ends before that changes nothing.
+//! - The free part of the retry budget belongs to the oldest process. The next process gets it one window
+//!   after the oldest one has ended.
+//! - Descriptors are leased. Each process publishes the most descriptors that it may open. Once a newer
+//!   process runs, an older one lowers its lease to its current use plus some headroom; the newer process gets
+//!   what the leases of the older ones leave. A process that runs alone leaves a reserve, so that the next one
+//!   can start. A lower lease takes effect before it is published, a higher one only after it is published.
+//! - An older process drains as soon as a newer one serves. A newer process that ends before it serves
+//!   changes nothing.
 
 #![deny(
     missing_docs,
@@ -22,21 +24,21 @@
 use crate::api::Nanos;
 use std::collections::BTreeSet;
 
-/// Another process at the same address, as it was last observed.
+/// Another process at the same address, as last observed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerProcess {
     /// Its number; older processes have lower ones.
     pub serial: u64,
-    /// Whether it runs.
+    /// Whether it is running.
     pub alive: bool,
-    /// The state that it last published, if that can be read.
+    /// The state that it last published; `None` if that can't be read.
     pub state: Option<ProcessState>,
 }
 
 impl PeerProcess {
-    /// The overrides that bind a process which starts now. A suspended server stays suspended after the process that
-    /// recorded it has ended; a pause ends with its process, unless another one ran beside it:
-    /// see [`Coordination::effective_overrides`].
+    /// The overrides of this peer that apply to a process which starts now. A suspended server stays
+    /// suspended after the process that recorded the suspension has ended. A pause ends with its process,
+    /// unless another process ran at the same time: see [`Coordination::effective_overrides`].
     #[must_use]
     pub fn effective_overrides(&self) -> Overrides {
         let mut overrides = self.state.as_ref().map(|s| s.overrides.clone()).unwrap_or_default();
@@ -52,15 +54,15 @@
 /// The deployment's limits, which all processes at the address share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedLimits {
-    /// Most descriptors.
+    /// Maximum number of open descriptors.
     pub descriptors: usize,
-    /// Most queries and parts in flight.
+    /// Maximum number of queries and parts in flight.
     pub max_in_flight: usize,
     /// Window of the retry budget, ns.
     pub retry_budget_window: Nanos,
 }
 
-/// What a process holds of the shared limits.
+/// What a process currently uses of the shared limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
     /// Open descriptors.
@@ -72,50 +74,51 @@
 /// The part of the shared limits that this process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaShare {
-    /// Most descriptors.
+    /// Maximum number of open descriptors.
     pub descriptors: usize,
-    /// Most queries and parts in flight.
+    /// Maximum number of queries and parts in flight.
     pub max_in_flight: usize,
     /// Whether the free part of the retry budget belongs to this process.
     pub free_retries: bool,
-    /// Whether a younger process serves, so that this one has to drain.
+    /// Whether a newer process serves, so that this one has to drain.
     pub successor_serving: bool,
 }
 
-/// One part in so many of the descriptors is reserved for the next process while a process runs alone.
+/// A process that runs alone leaves `1 / RESERVE_DIVISOR` of the descriptors to the next process.
 const RESERVE_DIVISOR: usize = 3;
-/// Fewest descriptors that a process can work with, whatever the others hold.
+/// Minimum number of descriptors that a process needs to work; granted whatever the others hold.
 pub const MIN_DESCRIPTORS: usize = 96;
-/// One part in so many of the descriptors may be added by an older process to what it held when a younger one
-/// came.
+/// While a newer process runs, an older one may open `1 / LEASE_HEADROOM_DIVISOR` of all descriptors beyond
+/// those that it held when the newer one was first observed.
 const LEASE_HEADROOM_DIVISOR: usize = 8;
-/// A younger process may have at least one part in so many of the queries in flight, whatever the older ones
-/// hold.
+/// A newer process may always use `1 / MIN_IN_FLIGHT_DIVISOR` of the limit of queries and parts in flight,
+/// whatever the older ones use.
 const MIN_IN_FLIGHT_DIVISOR: usize = 8;
-/// An older process keeps at least one part in so many of the queries in flight.
+/// While a newer process runs, an older one is capped at what it had in flight when the newer one was first
+/// observed, or at `1 / PREDECESSOR_IN_FLIGHT_DIVISOR` of the limit if that is more.
 const PREDECESSOR_IN_FLIGHT_DIVISOR: usize = 2;
 
-/// Whether a younger process runs.
+/// Whether a newer process is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Successor {
-    /// None runs.
+    /// No newer process is running.
     Absent,
-    /// One runs.
+    /// At least one newer process is running.
     Present {
-        /// What this process held when it was first observed.
+        /// What this process used when a newer one was first observed.
         usage_at_arrival: ResourceUsage,
     },
 }
 
-/// One process's view of the others, and its share of the limits that follows from it.
+/// What one process knows of the others, and the share of the limits that follows from it.
 #[derive(Clone, Debug)]
 pub struct Coordination {
     serial: u64,
     limits: SharedLimits,
     peers: Vec<PeerProcess>,
-    /// Numbers of the processes that were observed to run.
-    ran_beside: BTreeSet<u64>,
-    /// When an older process was last observed to run.
+    /// Numbers of the processes that were observed running while this one ran.
+    observed_running: BTreeSet<u64>,
+    /// When an older process was last observed running.
     predecessor_last_seen: Option<Nanos>,
     successor: Successor,
     /// The descriptor lease that was last published.
@@ -123,16 +126,17 @@
 }
 
 impl Coordination {
-    /// The view of process `serial`, which found `peers` when it started at `now`.
+    /// The state of process `serial`, which found `peers` when it started at `now`.
     #[must_use]
     pub fn new(serial: u64, limits: SharedLimits, peers: Vec<PeerProcess>, now: Nanos) -> Coordination {
-        // A process that is found dead may have ended just now: its retries count as those of one that runs.
+        // A process that is found dead may have ended a moment ago, so its retries still count within the
+        // window.
         let predecessor_last_seen = peers.iter().any(|p| p.serial < serial).then_some(now);
         let mut coordination = Coordination {
             serial,
             limits,
             peers: Vec::new(),
-            ran_beside: BTreeSet::new(),
+            observed_running: BTreeSet::new(),
             predecessor_last_seen,
             successor: Successor::Absent,
             published_lease: 0,
@@ -142,30 +146,31 @@
         coordination
     }
 
-    /// Takes in what was observed of the other processes, and what this process holds meanwhile.
+    /// Applies a new observation of the other processes. `usage` is what this process uses at that time.
     pub fn on_peers_observed(&mut self, peers: Vec<PeerProcess>, usage: ResourceUsage, now: Nanos) {
-        let runs_older = |peers: &[PeerProcess]| peers.iter().any(|p| p.serial < self.serial && p.alive);
-        // One that is not there any more may have run until just now.
-        if runs_older(&self.peers) || runs_older(&peers) {
+        let predecessor_runs =
+            |peers: &[PeerProcess]| peers.iter().any(|p| p.serial < self.serial && p.alive);
+        // An older process that is missing from the new observation may have run until a moment ago.
+        if predecessor_runs(&self.peers) || predecessor_runs(&peers) {
             self.predecessor_last_seen = Some(now);
         }
-        self.ran_beside.extend(peers.iter().filter(|p| p.alive).map(|p| p.serial));
-        self.ran_beside.retain(|serial| peers.iter().any(|p| p.serial == *serial));
-        let runs_younger = peers.iter().any(|p| p.serial > self.serial && p.alive);
+        self.observed_running.extend(peers.iter().filter(|p| p.alive).map(|p| p.serial));
+        self.observed_running.retain(|serial| peers.iter().any(|p| p.serial == *serial));
+        let successor_runs = peers.iter().any(|p| p.serial > self.serial && p.alive);
         self.successor = match self.successor {
-            _ if !runs_younger => Successor::Absent,
+            _ if !successor_runs => Successor::Absent,
             Successor::Absent => Successor::Present { usage_at_arrival: usage },
             present @ Successor::Present { .. } => present,
         };
         self.peers = peers;
     }
 
-    /// The most descriptors that this process may come to hold, to be published to the others.
+    /// The most descriptors that this process may open, to be published to the others.
     #[must_use]
     pub fn descriptor_lease(&self) -> usize {
         let total = self.limits.descriptors;
         let alone = total - total / RESERVE_DIVISOR;
-        // One without a readable state may hold all that a process alone may.
+        // A predecessor without a readable state may hold as many as a process that runs alone.
         let leases =
             self.running_predecessors().map(|p| p.state.as_ref().map_or(alone, |s| s.descriptor_lease));
         let available = match leases.reduce(|sum, lease| sum + lease) {
@@ -174,7 +179,7 @@
         };
         match self.successor {
             Successor::Absent => available,
-            // Never raised while a younger process runs, which may have counted on the published lease.
+            // Not raised while a newer process runs: that may have sized its lease by the published one.
             Successor::Present { usage_at_arrival } => {
                 let most = usage_at_arrival.descriptors + total / LEASE_HEADROOM_DIVISOR;
                 available.min(most).min(self.published_lease)
@@ -182,22 +187,23 @@
         }
     }
 
-    /// This lease was published to the other processes.
+    /// Records the lease that was published to the other processes.
     pub fn on_lease_published(&mut self, lease: usize) {
         self.published_lease = lease;
     }
 
-    /// The other processes as they were last observed.
+    /// The other processes, as last observed.
     #[must_use]
     pub fn peers(&self) -> &[PeerProcess] {
         &self.peers
     }
 
-    /// The overrides of another process that bind this one. A pause binds it also after the other has ended, if that ran
-    /// beside it: it may have been commanded and answered since it was last looked at.
+    /// The overrides of another process that apply to this one. If both ran at the same time, the other's
+    /// pause still applies after the other has ended: the pause may have been commanded and confirmed after
+    /// the last observation of the running process.
     #[must_use]
     pub fn effective_overrides(&self, peer: &PeerProcess) -> Overrides {
-        if self.ran_beside.contains(&peer.serial) {
+        if self.observed_running.contains(&peer.serial) {
             peer.state.as_ref().map(|state| state.overrides.clone()).unwrap_or_default()
         } else {
             peer.effective_overrides()
@@ -217,7 +223,7 @@
         }
     }
 
-    /// When the share next changes by time alone.
+    /// When the share next changes without a new observation.
     #[must_use]
     pub fn next_deadline(&self, now: Nanos) -> Option<Nanos> {
         self.predecessor_last_seen.map(|t| t + self.limits.retry_budget_window).filter(|t| *t > now)
--- a/src/hot_restart/mod.rs
+++ b/src/hot_restart/mod.rs
@@ -1,9 +1,8 @@
-//! Hot restart: several processes at one address, an old one and the new one that replaces it, act as one
-//! broker.
+//! Hot restart: the processes at one address, an old one and the new one that replaces it, act as one broker.
 //!
-//! - [`state`] is what a process publishes to the others, and how operators' overrides are merged;
+//! - [`state`] defines what a process publishes to the others, and merges operators' overrides;
 //! - [`coordination`] decides how the processes share the limits, and which of them drains;
-//! - [`state_directory`] is the directory through which the states are exchanged.
+//! - [`state_directory`] is the directory through which processes exchange their states.
 //!
 //! The alternatives that were considered are in `docs/hot-restart.md`.
 
@@ -28,7 +27,7 @@
 use state_directory::{StateDirectory, StateUpdate, UpdateNumber};
 use std::path::Path;
 
-/// Time between two published states, ns.
+/// Time between two publications of the state, ns.
 const PUBLISH_INTERVAL: Nanos = 100_000_000;
 
 /// This process, and what it inherits from the processes before it.
@@ -36,31 +35,31 @@
 pub struct JoinedHotRestart {
     /// This process among those at its address.
     pub hot_restart: HotRestart,
-    /// The operators' overrides that still hold.
+    /// The operators' overrides that are still in effect.
     pub overrides: Overrides,
-    /// The endpoint lists of the processes before, the oldest process first.
+    /// The endpoint lists of the earlier processes, the oldest process first.
     pub snapshots: Vec<Snapshot>,
 }
 
-/// What a process publishes of itself, beside its stage and its descriptor lease.
+/// What the broker supplies for a published state; stage and descriptor lease are added by [`HotRestart`].
 #[derive(Debug)]
 pub struct LocalState<'a> {
     /// Queries and parts in flight.
     pub in_flight: usize,
-    /// Ids of the open queries, which the other processes reject.
+    /// Ids of the open queries; the other processes reject queries with these ids.
     pub open_query_ids: Vec<String>,
     /// The operators' overrides.
     pub overrides: &'a Overrides,
-    /// Version of the endpoint list, as the membership counts it.
+    /// Version of the endpoint list in the membership.
     pub snapshot_version: (u32, u64),
 }
 
 /// What was observed of another process.
 #[derive(Clone, Debug)]
 pub struct PeerReport {
-    /// The operators' overrides that bind this process.
+    /// The operators' overrides that apply to this process.
     pub overrides: Overrides,
-    /// Ids of its open queries.
+    /// Ids of the open queries of the other process.
     pub open_query_ids: Vec<String>,
 }
 
@@ -77,7 +76,7 @@
 
 impl HotRestart {
     /// Registers this process in the state directory and reads what the processes before it have published.
-    /// None where the directory can't be used: the process then starts as if it were alone.
+    /// Returns `None` if the directory can't be used; the process then starts as if it were the only one.
     pub fn open(dir: &Path, limits: SharedLimits, now: Nanos) -> Option<JoinedHotRestart> {
         let (found, directory) = match StateDirectory::open(dir) {
             Ok(opened) => opened,
@@ -99,7 +98,7 @@
             process = found.serial,
             running = found.peers.iter().filter(|p| p.alive).count(),
             suspended_servers = overrides.suspended_servers().count(),
-            "this process joined those at this address"
+            "registered with the other processes at this address"
         );
         let hot_restart = HotRestart {
             directory,
@@ -117,8 +116,8 @@
         self.coordination.quota_share(now)
     }
 
-    /// Reports of the other processes, if they were observed anew since the last call. `usage` is what this process
-    /// holds.
+    /// Reports of the other processes; empty if there is no new observation since the last call. `usage` is
+    /// what this process currently uses.
     pub fn observe(&mut self, usage: ResourceUsage, now: Nanos) -> Vec<PeerReport> {
         let Some(peers) = self.directory.latest_peers() else { return Vec::new() };
         self.coordination.on_peers_observed(peers, usage, now);
@@ -136,19 +135,19 @@
         }
     }
 
-    /// Makes the next state due at once, for a change that must not be lost.
+    /// Makes the next publication due at once, for a change that must not be lost.
     pub fn publish_now(&mut self) {
         self.next_publish_at = 0;
     }
 
-    /// Whether a state is due to be published.
+    /// Whether a publication is due.
     #[must_use]
     pub fn is_due(&self, now: Nanos) -> bool {
         self.next_publish_at <= now
     }
 
-    /// Publishes a state, and with it the endpoint list where its version has changed. Gives the update's number; none if
-    /// the disk is behind.
+    /// Publishes the state, and the endpoint list if its version has changed. Returns the number of the
+    /// update, or `None` if earlier updates still wait for the disk and this one was dropped.
     pub fn publish(
         &mut self,
         local: LocalState<'_>,
@@ -173,13 +172,13 @@
         Some(number)
     }
 
-    /// Whether an update is written: processes that start from now on read it.
+    /// Whether an update is written to disk, so that a process that starts from now on reads it.
     #[must_use]
     pub fn is_written(&self, number: UpdateNumber) -> bool {
         self.directory.is_written(number)
     }
 
-    /// When something is next to be done.
+    /// When the next publication or change of the share is due.
     #[must_use]
     pub fn next_deadline(&self, now: Nanos) -> Nanos {
         self.coordination.next_deadline(now).map_or(self.next_publish_at, |t| t.min(self.next_publish_at))
--- a/src/hot_restart/state.rs
+++ b/src/hot_restart/state.rs
@@ -1,5 +1,5 @@
-//! What one process publishes to the others at its address: operators' overrides, and what must not be used
-//! twice.
+//! What one process publishes to the others at its address: operators' overrides, its use of the shared
+//! limits, and the ids of its open queries, which must not be used twice.
 
 #![deny(
     missing_docs,
@@ -17,28 +17,29 @@
 /// Format of `N.state`.
 pub const FORMAT: FileFormat = FileFormat {
     magic: "pebbleturn-handover",
-    description: "state handed over",
+    description: "hot restart state",
     version: 1,
     max_bytes: 1 << 20,
 };
-/// Most servers whose overrides are remembered. The oldest override that is not active is dropped first.
+/// Maximum number of servers with a stored override. Inactive overrides are dropped first, the oldest of them
+/// first.
 const MAX_SERVER_OVERRIDES: usize = 4096;
 
-/// How far a process has come.
+/// Stage in the lifecycle of a process.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessStage {
-    /// It takes no clients yet.
+    /// Does not accept clients yet.
     #[default]
     Starting,
-    /// It takes clients.
+    /// Accepts clients.
     Serving,
-    /// It takes no new clients and finishes what it took.
+    /// Accepts no new clients and finishes the accepted requests.
     #[serde(rename = "Leaving")]
     Draining,
 }
 
-/// An operator's last command on something, and its time. The later one holds; of two at one time, the active
-/// one.
+/// The last operator command on a server or on the pause, with its time. The later of two commands wins; at
+/// equal times, the active one wins.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Override {
     /// Unix time, ns.
@@ -50,15 +51,15 @@
 }
 
 impl Override {
-    /// An override that is later than the one before it, even if the clock went back between two processes.
+    /// An override that is later than the previous one, even if the clock went back between two processes.
     fn after(previous: Option<Override>, active: bool, now: Nanos) -> Override {
         let set_at = previous.map_or(now, |p| now.max(p.set_at + 1));
         Override { set_at, active }
     }
 }
 
-/// The operators' overrides. Merging is commutative, associative and idempotent: in whatever order processes
-/// learn of overrides, all come to the same result.
+/// The operators' overrides. Merging is commutative, associative and idempotent: the order in which processes
+/// receive overrides does not affect the result.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Overrides {
     /// Suspensions, by server id.
@@ -68,7 +69,7 @@
 }
 
 impl Overrides {
-    /// Records a command on a server, which overrides any before it.
+    /// Records a command on a server, which replaces any earlier one.
     pub fn set_server_suspended(&mut self, id: &str, suspended: bool, now: Nanos) {
         let previous = self.servers.get(id).copied();
         self.servers.insert(id.to_owned(), Override::after(previous, suspended, now));
@@ -79,12 +80,12 @@
         }
     }
 
-    /// Records a command on the pause, which overrides any before it.
+    /// Records a command on the pause, which replaces any earlier one.
     pub fn set_paused(&mut self, paused: bool, now: Nanos) {
         self.pause = Some(Override::after(self.pause, paused, now));
     }
 
-    /// Takes in the overrides of another process. True if any of them is new here.
+    /// Merges the overrides of another process. Returns whether any of them was new.
     pub fn merge(&mut self, other: &Overrides) -> bool {
         let mut changed = false;
         for (id, theirs) in &other.servers {
@@ -100,7 +101,7 @@
         changed
     }
 
-    /// Ids of the suspended servers, in their order.
+    /// Ids of the suspended servers, in ascending order.
     pub fn suspended_servers(&self) -> impl Iterator<Item = &str> {
         self.servers.iter().filter(|(_, o)| o.active).map(|(id, _)| id.as_str())
     }
@@ -109,27 +110,27 @@
 /// What a process publishes to the others at its address.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ProcessState {
-    /// When this was written, unix ns.
+    /// When the state was written, Unix time in ns.
     #[serde(rename = "written")]
     pub written_at: Nanos,
-    /// How far it has come.
+    /// Stage of the process.
     pub stage: ProcessStage,
-    /// The operators' overrides that it knows.
+    /// The operators' overrides known to the process.
     #[serde(rename = "words")]
     pub overrides: Overrides,
-    /// The most descriptors that it may come to hold.
+    /// The most descriptors that the process may open.
     #[serde(rename = "lease")]
     pub descriptor_lease: usize,
     /// Queries and parts in flight.
     #[serde(rename = "held")]
     pub in_flight: usize,
-    /// Ids of its open queries.
+    /// Ids of the open queries of the process.
     #[serde(rename = "open_ids")]
     pub open_query_ids: Vec<String>,
 }
 
 impl ProcessState {
-    /// The bytes of `N.state`.
+    /// Encodes the state as the content of `N.state`.
     ///
     /// # Errors
     ///
@@ -138,11 +139,11 @@
         FORMAT.encode(self)
     }
 
-    /// Reads the bytes of `N.state`.
+    /// Decodes the content of `N.state`.
     ///
     /// # Errors
     ///
-    /// The bytes are damaged, too many or of another version.
+    /// The bytes are damaged, too many or of another format version.
     pub fn decode(bytes: &[u8]) -> Result<ProcessState, FileFormatError> {
         FORMAT.decode(bytes)
     }
--- a/src/hot_restart/state_directory/files.rs
+++ b/src/hot_restart/state_directory/files.rs
@@ -1,4 +1,4 @@
-//! The files of each process: their names, who holds them locked, and how they are read and replaced.
+//! The files of each process: their names, their locks, and how they are read, replaced and removed.
 
 use super::{StateDirectoryError, StateFileError};
 use crate::hot_restart::coordination::PeerProcess;
@@ -11,22 +11,22 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// The files of a process, by their extensions.
+/// The kinds of files of a process, which differ by their extension.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum FileKind {
-    /// Locked by its process for as long as that lives.
+    /// Locked by its process for as long as it runs.
     Lock,
-    /// What the process publishes.
+    /// The state that the process publishes.
     State,
-    /// Its endpoint list.
+    /// The endpoint list of the process.
     List,
-    /// A file that is being written.
+    /// A new version of another file, before it is renamed.
     Temporary,
 }
 
 impl FileKind {
-    /// All files of a process. The lock is the last, so that what remains is found again if its removal is
-    /// interrupted.
+    /// All files of a process. The lock is removed last, so that the remaining files are found again if the
+    /// removal is interrupted.
     const IN_ORDER_OF_REMOVAL: [FileKind; 4] =
         [FileKind::State, FileKind::List, FileKind::Temporary, FileKind::Lock];
 
@@ -50,7 +50,7 @@
     Ok(names.filter_map(|n| n.split_once('.')?.0.parse().ok()).collect())
 }
 
-/// Takes the next number, and the lock that goes with it.
+/// Reserves the next process number by creating and locking its lock file.
 pub(super) fn register(dir: &Path) -> Result<(u64, File), StateDirectoryError> {
     let error = |source| StateDirectoryError::Register { dir: dir.to_owned(), source };
     loop {
@@ -60,22 +60,23 @@
                 file.lock().map_err(error)?;
                 return Ok((serial, file));
             }
-            // Another process started at the same moment.
+            // Another process took the same number at the same moment.
             Err(e) if e.kind() == ErrorKind::AlreadyExists => {}
             Err(e) => return Err(error(e)),
         }
     }
 }
 
-/// Whether the process runs: it then holds its lock.
+/// Whether the process is running, which is so as long as its lock is held.
 fn is_alive(dir: &Path, serial: u64) -> bool {
     let file = File::options().write(true).open(path(dir, serial, FileKind::Lock));
     file.is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)))
 }
 
-/// Another process with the state that it published, and why that can't be used. A missing file is no error.
+/// Reads another process and its published state, with the reason if that can't be used. A missing file is no
+/// error.
 pub(super) fn read_peer(dir: &Path, serial: u64) -> (PeerProcess, Option<StateFileError>) {
-    // Checked first: a state that was read while its process lived is one that it wrote.
+    // Checked before the state is read: if the process has ended, the state is the last one that it wrote.
     let alive = is_alive(dir, serial);
     let read = read(dir, serial, FileKind::State, state::FORMAT.max_bytes, ProcessState::decode);
     let (state, error) = match read {
@@ -85,7 +86,7 @@
     (PeerProcess { serial, alive, state }, error)
 }
 
-/// The endpoint list of a process; none if it has published none.
+/// Reads the endpoint list of a process; `None` if it has not published one.
 pub(super) fn read_snapshot(dir: &Path, serial: u64) -> Result<Option<Snapshot>, StateFileError> {
     read(dir, serial, FileKind::List, snapshot::MAX_FILE_BYTES, snapshot::decode)
 }
@@ -108,7 +109,7 @@
     }
 }
 
-/// Replaces a file by renaming, so that a reader finds the old one or the new one as a whole.
+/// Replaces a file by renaming, so that a reader finds either the complete old or the complete new content.
 pub(super) fn replace(dir: &Path, serial: u64, kind: FileKind, bytes: &[u8]) -> io::Result<()> {
     let temporary = path(dir, serial, FileKind::Temporary);
     std::fs::write(&temporary, bytes)?;
--- a/src/hot_restart/state_directory/mod.rs
+++ b/src/hot_restart/state_directory/mod.rs
@@ -1,8 +1,9 @@
 //! The directory in which processes at one address publish their states to each other.
 //!
-//! Each process has a number and three files: `N.lock`, which it holds locked for as long as it lives, so
-//! that the system itself shows which processes run; `N.state`, small and written often; `N.list`, its
-//! endpoint list. Files are replaced by renaming: a reader finds a whole file, unless the disk was full.
+//! Each process has a number N and three files: `N.lock`, which it keeps locked while it runs, so that the
+//! operating system shows which processes are running; `N.state`, which is small and written often; `N.list`,
+//! its endpoint list. Files are replaced by renaming: a reader finds a complete file, unless the disk was
+//! full.
 
 #![deny(
     missing_docs,
@@ -29,9 +30,9 @@
 use std::time::Duration;
 use worker::DirectoryWorker;
 
-/// How long the end of the program waits for the thread: a disk that hangs must not delay it further.
+/// How long shutdown waits for the thread: a disk that hangs must not delay it further.
 const SHUTDOWN_WAIT: Duration = Duration::from_millis(200);
-/// Updates, and observations, that may wait for their receiver.
+/// Capacity of the channel of updates, and of the channel of observations.
 const CHANNEL_CAPACITY: usize = 4;
 
 /// Why the state directory can't be used.
@@ -45,7 +46,7 @@
         /// What the system reported.
         source: io::Error,
     },
-    /// No number and lock could be had for this process.
+    /// No number and lock could be acquired for this process.
     #[error("registering in {}: {source}", dir.display())]
     Register {
         /// The directory.
@@ -74,7 +75,7 @@
 /// Why a file of an earlier process is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateFileError {
-    /// Its content is damaged or of another version.
+    /// The content is damaged or of another format version.
     #[error("{}: {source}", path.display())]
     Format {
         /// The file.
@@ -82,7 +83,7 @@
         /// What is wrong with the content.
         source: FileFormatError,
     },
-    /// It could not be read.
+    /// The file could not be read.
     #[error("{}: {source}", path.display())]
     Read {
         /// The file.
@@ -90,8 +91,8 @@
         /// What the system reported.
         source: io::Error,
     },
-    /// Its process runs and has not written it yet.
-    #[error("{} is not there yet", path.display())]
+    /// The process is running and has not written the file yet.
+    #[error("{} has not been written yet", path.display())]
     Missing {
         /// The file.
         path: PathBuf,
@@ -107,16 +108,16 @@
     Write(#[from] io::Error),
 }
 
-/// What a process finds at its start.
+/// What a process finds in the directory when it starts.
 #[derive(Debug, Default)]
 pub struct StartupContents {
     /// The number of this process.
     pub serial: u64,
-    /// The processes before it, the oldest first.
+    /// The earlier processes, the oldest first.
     pub peers: Vec<PeerProcess>,
     /// Their endpoint lists, in the same order.
     pub snapshots: Vec<Snapshot>,
-    /// Why files are not used.
+    /// Why files of earlier processes are not used.
     pub errors: Vec<StateFileError>,
 }
 
@@ -145,23 +146,23 @@
     }
 }
 
-/// The place of an update among those of this process.
+/// Sequence number of an update of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UpdateNumber(u64);
 
-/// What is to be written.
+/// An update to be written to the files of this process.
 #[derive(Debug)]
 pub struct StateUpdate {
     /// The state of this process.
     pub state: ProcessState,
-    /// Its endpoint list, where that has changed.
+    /// The endpoint list, if it has changed.
     pub snapshot: Option<Snapshot>,
 }
 
-/// The directory, worked on by a thread of its own. Dropping it ends the thread.
+/// The directory, read and written by a thread of its own. Dropping this ends the thread.
 #[derive(Debug)]
 pub struct StateDirectory {
-    /// None while it is dropped, which ends the thread.
+    /// `None` only during drop: closing the channel ends the thread.
     updates: Option<SyncSender<(UpdateNumber, StateUpdate)>>,
     last_number: u64,
     /// Number of the last update that was written.
@@ -173,12 +174,12 @@
 
 impl StateDirectory {
     /// Registers this process, reads what earlier ones have published, and starts the thread. Blocks on the
-    /// disk, so it is called before the broker serves; from then on only the thread touches the disk.
+    /// disk, so it is called before the broker serves; after that only the thread accesses the disk.
     ///
     /// # Errors
     ///
     /// The directory can't be created, read or written, or the thread can't be started. Files of other
-    /// processes that can't be used are no error: they are listed in [`StartupContents::errors`].
+    /// processes that can't be used are not an error: they are listed in [`StartupContents::errors`].
     pub fn open(dir: &Path) -> Result<(StartupContents, StateDirectory), StateDirectoryError> {
         std::fs::create_dir_all(dir)
             .map_err(|source| StateDirectoryError::Create { dir: dir.to_owned(), source })?;
@@ -208,8 +209,8 @@
         Ok((contents, directory))
     }
 
-    /// Has an update written, and gives its number. Never blocks; none if the thread is behind, and the update is
-    /// dropped.
+    /// Queues an update for writing and returns its number. Never blocks: if the queue is full, the update is
+    /// dropped and the result is `None`.
     #[must_use]
     pub fn publish(&mut self, update: StateUpdate) -> Option<UpdateNumber> {
         let number = UpdateNumber(self.last_number + 1);
@@ -218,14 +219,13 @@
         Some(number)
     }
 
-    /// Whether an update, or a later one, is written: processes that start from now on read it.
+    /// Whether an update, or a later one, is written, so that a process that starts from now on reads it.
     #[must_use]
     pub fn is_written(&self, number: UpdateNumber) -> bool {
         number.0 <= self.written.load(Ordering::Acquire)
     }
 
-    /// The other processes as they were last observed; none if they were not observed anew since the last
-    /// call.
+    /// The other processes, as last observed; `None` if there is no new observation since the last call.
     #[must_use]
     pub fn latest_peers(&self) -> Option<Vec<PeerProcess>> {
         self.observations.try_iter().last()
--- a/src/hot_restart/state_directory/worker.rs
+++ b/src/hot_restart/state_directory/worker.rs
@@ -13,8 +13,8 @@
 
 /// Time between two polls of the other processes' files.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Polls after the first written state until files of dead processes are removed. By then, what they
-/// published last is in this process's own state.
+/// Polls from the first written state until files of dead processes are removed. By then, this process's own
+/// state contains what they last published.
 const POLLS_BEFORE_CLEANUP: u32 = 20;
 
 /// Whether the last update could be written.
@@ -27,9 +27,9 @@
 /// How far this process has come towards removing files of dead processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Cleanup {
-    /// No state of this process was written yet.
+    /// No state of this process has been written yet.
     NothingWritten,
-    /// So many polls have passed since.
+    /// Polls since the first written state, counted from 1, up to [`POLLS_BEFORE_CLEANUP`].
     Polls(u32),
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// Works on the directory until its owner is gone.
+/// Reads and writes the directory until its [`super::StateDirectory`] is dropped.
 #[derive(Debug)]
 pub(super) struct DirectoryWorker {
     dir: PathBuf,
     serial: u64,
-    /// Held for as long as the process lives.
+    /// Held for as long as the process runs.
     _lock: File,
     write_status: WriteStatus,
     cleanup: Cleanup,
@@ -70,8 +70,8 @@
         DirectoryWorker { dir, serial, _lock: lock, write_status, cleanup, written }
     }
 
-    /// Writes updates as they come, and sends what it polls of the others. Returns once either channel is
-    /// closed.
+    /// Writes updates as they arrive, and polls the other processes and sends what was observed. Returns once
+    /// either channel is closed.
     pub(super) fn run(
         mut self,
         updates: &Receiver<(UpdateNumber, StateUpdate)>,
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Writes the files of this process. The first failure in a row is logged: a full disk stays full.
+    /// Writes the files of this process. Only the first of consecutive failures is logged, as a full disk
+    /// usually stays full.
     fn write(&mut self, number: UpdateNumber, update: &StateUpdate) {
         match self.try_write(update) {
             Ok(()) => {
@@ -117,8 +118,8 @@
         Ok(())
     }
 
-    /// The other processes. Files of dead older ones are removed once this process's own state has all that
-    /// was in them.
+    /// Reads the states of the other processes. Removes the files of dead older ones once this process's own
+    /// state contains what was in them.
     fn poll(&mut self) -> Vec<PeerProcess> {
         self.cleanup.on_poll();
         let serials = files::serials(&self.dir).unwrap_or_default();
