--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and endpoint lists for tests of the decision module and of what drives it.
+//! Settings and endpoint list entries for tests of the policy and of the engine that drives it.
 #![allow(dead_code)]
 
 use pebbleturn::*;
@@ -6,9 +6,9 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         latency_objective: S,
         objective_per_work: 0.0,
         deadline: 3 * S,
@@ -21,10 +21,10 @@
     }
 }
 
-/// Six replicas in six cells, three to a shard, everything allowed.
-pub fn settings(effect: Idempotency) -> Settings {
+/// Six shards on six replicas in six cells, three replicas to a shard; every optional action is allowed.
+pub fn settings(idempotency: Idempotency) -> Settings {
     Settings {
-        classes: vec![class(effect)],
+        classes: vec![class(idempotency)],
         tenants: vec![],
         over_quota_weight: 1.0,
         brokers: 2,
@@ -54,6 +54,6 @@
     }
 }
 
-pub fn line(n: u32, standing: ReplicaState, started: Option<Nanos>) -> ReplicaEntry {
-    ReplicaEntry { replica: ReplicaId(n), zone: 0, cell: n % 6, state: standing, started, weight: 1.0 }
+pub fn line(n: u32, state: ReplicaState, started: Option<Nanos>) -> ReplicaEntry {
+    ReplicaEntry { replica: ReplicaId(n), zone: 0, cell: n % 6, state, started, weight: 1.0 }
 }
