--- a/tests/operation/catalogue.rs
+++ b/tests/operation/catalogue.rs
@@ -1,4 +1,4 @@
-//! Operation on the catalogue's port: the same calls, and a new process beside the old one.
+//! The catalogue broker: admin endpoint and hot restart.
 
 use super::PROGRAM;
 use pebbleturn_lab::demo::by_sru;
@@ -10,7 +10,7 @@
 struct Catalogue {
     script: Script,
     nodes: Vec<SocketAddr>,
-    door: TcpListener,
+    listener: TcpListener,
     tmp: tempfile::TempDir,
 }
 
@@ -18,36 +18,36 @@
     fn new() -> Catalogue {
         let script = Script::default();
         let nodes = (0..3).map(|n| node(Wire::Sru, n, script.clone())).collect();
-        let door = TcpListener::bind("127.0.0.1:0").unwrap();
-        Catalogue { script, nodes, door, tmp: tempfile::tempdir().unwrap() }
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        Catalogue { script, nodes, listener, tmp: tempfile::tempdir().unwrap() }
     }
 
     fn start(&self) -> Process {
-        let ops = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let admin_addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let mut text = format!(
-            "name = \"t\"\nzone = \"a\"\n[operation]\nlisten = \"{ops}\"\nhand_over = {:?}\n[partitions]\ncount = 3\ncells = 3\n\
+            "name = \"t\"\nzone = \"a\"\n[operation]\nlisten = \"{admin_addr}\"\nhand_over = {:?}\n[partitions]\ncount = 3\ncells = 3\n\
              holders = 2\ndatabase = \"part-{{partition}}\"\n[[class]]\nname = \"c\"\naim_ms = 8000\ndeadline_ms = 20000\n\
              [[database]]\nname = \"scores\"\nclass = \"c\"\n[[listener]]\nprotocol = \"sru\"\nlisten = \"{}\"\ndescriptor = 4\n",
             self.tmp.path().join("hand"),
-            self.door.local_addr().unwrap(),
+            self.listener.local_addr().unwrap(),
         );
         for (n, at) in self.nodes.iter().enumerate() {
             text += &format!(
                 "[[node]]\nid = \"n-{n}\"\nprotocol = \"sru\"\naddress = \"{at}\"\nzone = \"a\"\ncell = {n}\n"
             );
         }
-        let path = self.tmp.path().join(format!("{}.toml", ops.port()));
+        let path = self.tmp.path().join(format!("{}.toml", admin_addr.port()));
         std::fs::write(&path, text).unwrap();
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" \"$@\" 4<&0 0</dev/null", PROGRAM]);
         command.args(["serve", "catalogue"]).arg(path);
-        let process = Process::start(&mut command, &self.door, ops);
-        until("it serves", || process.call("STATUS").starts_with("SUCCESS"));
+        let process = Process::start(&mut command, &self.listener, admin_addr);
+        until("the process serves", || process.call("STATUS").starts_with("SUCCESS"));
         process
     }
 
     fn serves(&self) -> bool {
-        by_sru(self.door.local_addr().unwrap()).unwrap().starts_with("HTTP/1.1 200")
+        by_sru(self.listener.local_addr().unwrap()).unwrap().starts_with("HTTP/1.1 200")
     }
 }
 
@@ -56,9 +56,9 @@
     let site = Catalogue::new();
     let mut old = site.start();
     assert!((0..5).all(|_| site.serves()));
-    until("the figures agree", || {
-        let f = old.figures();
-        f["ok"]["c"] == 5 && f["tries"] == site.script.came() && f["pool_size"] == 3
+    until("the metrics match", || {
+        let metrics = old.figures();
+        metrics["ok"]["c"] == 5 && metrics["tries"] == site.script.came() && metrics["pool_size"] == 3
     });
     old.says_yes("SUSPEND n-1");
     assert!(old.says_no("SUSPEND nobody").contains("never listed"));
@@ -70,9 +70,9 @@
     assert!((0..10).all(|_| site.serves()));
     assert_eq!(site.script.came_to(1), before);
     new.says_yes("RESTORE n-1");
-    until("it is used again", || site.serves() && site.script.came_to(1) > before);
+    until("the restored node is used again", || site.serves() && site.script.came_to(1) > before);
     new.says_yes("PAUSE");
-    until("it is not ready", || !ready(site.door.local_addr().unwrap()));
+    until("the broker is not ready", || !ready(site.listener.local_addr().unwrap()));
     new.says_yes("RESUME");
-    until("it is ready", || ready(site.door.local_addr().unwrap()));
+    until("the broker is ready", || ready(site.listener.local_addr().unwrap()));
 }
--- a/tests/operation/hot_restart.rs
+++ b/tests/operation/hot_restart.rs
@@ -1,4 +1,5 @@
-//! How processes at one address publish their states and share the limits: without disk, in simulated time.
+//! How processes at one address publish their states and share the limits, without a disk and in simulated
+//! time.
 
 use pebbleturn::Nanos;
 use pebbleturn::hot_restart::coordination::{
@@ -45,8 +46,8 @@
 
 fn overrides_of(commands: &[(u8, bool, u8)]) -> Overrides {
     let mut overrides = Overrides::default();
-    for (id, out, at) in commands {
-        let one_override = Override { set_at: Nanos::from(*at % 4), active: *out };
+    for (id, active, at) in commands {
+        let one_override = Override { set_at: Nanos::from(*at % 4), active: *active };
         let mut one = Overrides::default();
         match id % 4 {
             0 => one.pause = Some(one_override),
@@ -59,8 +60,8 @@
 
 fn merged(all: &[&Overrides]) -> Overrides {
     let mut overrides = Overrides::default();
-    for w in all {
-        overrides.merge(w);
+    for other in all {
+        overrides.merge(other);
     }
     overrides
 }
@@ -74,91 +75,92 @@
 
     fn the_last_override_holds_whatever_the_clock_does(commands: Vec<(bool, u8)>) -> bool {
         let mut overrides = Overrides::default();
-        commands.iter().for_each(|(out, clock)| overrides.set_server_suspended("s", *out, Nanos::from(*clock)));
-        overrides.servers.get("s").map(|w| w.active) == commands.last().map(|(out, _)| *out)
+        commands.iter().for_each(|(active, clock)| overrides.set_server_suspended("s", *active, Nanos::from(*clock)));
+        overrides.servers.get("s").map(|o| o.active) == commands.last().map(|(active, _)| *active)
     }
 }
 
 const LIMITS: SharedLimits =
     SharedLimits { descriptors: 384, max_in_flight: 800, retry_budget_window: 2000 * MS };
 
-/// How the world turns a process's view into what it does.
-type Decide = fn(&Coordination, &Seen, Nanos) -> QuotaShare;
+/// The rule under test: what share of the limits a process takes, given its coordination and observations.
+type ShareRule = fn(&Coordination, &Observed, Nanos) -> QuotaShare;
 
-/// What a process has observed, for the faulty variants of the rules.
-struct Seen {
+/// What a process last observed, as input of the faulty rules.
+struct Observed {
     serial: u64,
     peers: Vec<PeerProcess>,
 }
 
 struct Process {
-    seen: Seen,
-    view: Coordination,
+    observed: Observed,
+    coordination: Coordination,
     share: QuotaShare,
     stage: ProcessStage,
     alive: bool,
-    holds: usize,
-    /// The state that others can read.
-    written: Option<ProcessState>,
-    next_look: Nanos,
+    descriptors: usize,
+    /// The state that the other processes can read.
+    published: Option<ProcessState>,
+    next_observation_at: Nanos,
     serves_at: Nanos,
 }
 
-/// Processes at one address that start, serve, drain and are killed, with invariants checked over all of them.
-struct World {
+/// Processes at one address that start, serve, drain and are killed. Each step checks the invariants over all
+/// of them.
+struct Simulation {
     rng: Pcg64Mcg,
     now: Nanos,
     processes: Vec<Process>,
-    /// Last time at which each used a free attempt.
-    free: Vec<Option<Nanos>>,
-    wrong: Vec<&'static str>,
+    /// Last time at which each process used a free retry.
+    last_free_retry: Vec<Option<Nanos>>,
+    violations: Vec<&'static str>,
 }
 
-impl World {
+impl Simulation {
     fn chance(&mut self, one_in: u32) -> bool {
         self.rng.next_u64().is_multiple_of(u64::from(one_in))
     }
 
     fn peers(&self, of: u64) -> Vec<PeerProcess> {
-        let others = self.processes.iter().filter(|p| p.seen.serial != of);
+        let others = self.processes.iter().filter(|p| p.observed.serial != of);
         others
-            .map(|p| PeerProcess { serial: p.seen.serial, alive: p.alive, state: p.written.clone() })
+            .map(|p| PeerProcess { serial: p.observed.serial, alive: p.alive, state: p.published.clone() })
             .collect()
     }
 
-    fn start(&mut self, decide: Decide) {
+    fn start(&mut self, rule: ShareRule) {
         let serial = self.processes.len() as u64 + 1;
         let peers = self.peers(serial);
-        let view = Coordination::new(serial, LIMITS, peers.clone(), self.now);
-        let seen = Seen { serial, peers };
-        let share = decide(&view, &seen, self.now);
+        let coordination = Coordination::new(serial, LIMITS, peers.clone(), self.now);
+        let observed = Observed { serial, peers };
+        let share = rule(&coordination, &observed, self.now);
         let serves_at = self.now + self.rng.next_u64() % 400 * MS;
-        let (stage, holds, next_look) = (ProcessStage::Starting, 16, self.now);
+        let (stage, descriptors, next_observation_at) = (ProcessStage::Starting, 16, self.now);
         self.processes.push(Process {
-            seen,
-            view,
+            observed,
+            coordination,
             share,
             stage,
             alive: true,
-            holds,
-            written: None,
-            next_look,
+            descriptors,
+            published: None,
+            next_observation_at,
             serves_at,
         });
-        self.free.push(None);
+        self.last_free_retry.push(None);
     }
 
-    fn step(&mut self, decide: Decide) {
+    fn step(&mut self, rule: ShareRule) {
         self.now += 10 * MS;
         let running = self.processes.iter().filter(|p| p.alive).count();
         if running == 0 || (running == 1 && self.chance(100)) {
-            self.start(decide);
+            self.start(rule);
         }
         for n in 0..self.processes.len() {
             if !self.processes[n].alive {
                 continue;
             }
-            // Killed at any moment, a young one more often.
+            // Processes are killed at random, starting ones more often.
             let one_in = if self.processes[n].stage == ProcessStage::Starting { 60 } else { 500 };
             if self.chance(one_in) {
                 self.processes[n].alive = false;
@@ -169,95 +171,110 @@
             if p.stage == ProcessStage::Starting && p.serves_at <= now {
                 p.stage = ProcessStage::Serving;
             }
-            if p.next_look <= now {
-                p.next_look = now + 90 * MS + jitter;
-                p.seen.peers = peers.clone();
-                p.view.on_peers_observed(peers, ResourceUsage { descriptors: p.holds, in_flight: 0 }, now);
-                p.share = decide(&p.view, &p.seen, now);
-                let lease = p.view.descriptor_lease();
-                p.written =
+            if p.next_observation_at <= now {
+                p.next_observation_at = now + 90 * MS + jitter;
+                p.observed.peers = peers.clone();
+                p.coordination.on_peers_observed(
+                    peers,
+                    ResourceUsage { descriptors: p.descriptors, in_flight: 0 },
+                    now,
+                );
+                p.share = rule(&p.coordination, &p.observed, now);
+                let lease = p.coordination.descriptor_lease();
+                p.published =
                     Some(ProcessState { stage: p.stage, descriptor_lease: lease, ..ProcessState::default() });
-                p.view.on_lease_published(lease);
+                p.coordination.on_lease_published(lease);
             }
-            // It takes all that it may at once, and leaves as soon as it may.
-            p.holds = p.holds.max(p.share.descriptors);
+            // A process uses all of its share at once, and ends as soon as a successor serves.
+            p.descriptors = p.descriptors.max(p.share.descriptors);
             if p.share.free_retries {
-                self.free[n] = Some(now);
+                self.last_free_retry[n] = Some(now);
             }
             if p.share.successor_serving {
                 p.alive = false;
                 let successor = self.processes[n + 1..].iter().any(|q| q.stage == ProcessStage::Serving);
                 if !successor {
-                    self.wrong.push("left the address to nobody");
+                    self.violations.push("ended without a serving successor");
                 }
             }
         }
-        let held: usize = self.processes.iter().filter(|p| p.alive).map(|p| p.holds).sum();
+        let held: usize = self.processes.iter().filter(|p| p.alive).map(|p| p.descriptors).sum();
         if held > LIMITS.descriptors {
-            self.wrong.push("more descriptors than there are");
+            self.violations.push("more descriptors in use than the limit");
         }
-        let recent =
-            self.free.iter().flatten().filter(|t| **t + LIMITS.retry_budget_window > self.now).count();
+        let recent = self
+            .last_free_retry
+            .iter()
+            .flatten()
+            .filter(|t| **t + LIMITS.retry_budget_window > self.now)
+            .count();
         if recent > 1 {
-            self.wrong.push("two used the free attempts within one window");
+            self.violations.push("two processes used free retries within one window");
         }
     }
 }
 
-/// Plays one seed; what went wrong.
-fn play(seed: u64, decide: Decide) -> Vec<&'static str> {
+/// Runs one seed and returns the violated invariants.
+fn run_seed(seed: u64, rule: ShareRule) -> Vec<&'static str> {
     let rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut world = World { rng, now: 10_000 * MS, processes: vec![], free: vec![], wrong: vec![] };
+    let mut simulation =
+        Simulation { rng, now: 10_000 * MS, processes: vec![], last_free_retry: vec![], violations: vec![] };
     for _ in 0..800 {
-        world.step(decide);
+        simulation.step(rule);
     }
-    world.wrong.dedup();
-    world.wrong
+    simulation.violations.dedup();
+    simulation.violations
 }
 
-fn honest(view: &Coordination, _: &Seen, now: Nanos) -> QuotaShare {
-    view.quota_share(now)
+fn unmodified_rule(coordination: &Coordination, _: &Observed, now: Nanos) -> QuotaShare {
+    coordination.quota_share(now)
 }
 
 #[test]
 fn processes_together_keep_the_limits_of_one_over_starts_ends_and_kills() {
     for seed in 0..3000 {
-        assert_eq!(play(seed, honest), [""; 0], "seed {seed}");
+        assert_eq!(run_seed(seed, unmodified_rule), [""; 0], "seed {seed}");
     }
 }
 
 #[test]
 fn the_invariant_checks_catch_each_removed_rule() {
-    let mutants: [(&str, Decide); 6] = [
-        ("free attempts for all", |v, _, now| QuotaShare { free_retries: true, ..v.quota_share(now) }),
-        ("free attempts without a window", |v, seen, now| {
-            let older = seen.peers.iter().any(|p| p.alive && p.serial < seen.serial);
-            QuotaShare { free_retries: !older, ..v.quota_share(now) }
+    let mutants: [(&str, ShareRule); 6] = [
+        ("free retries for all processes", |coordination, _, now| QuotaShare {
+            free_retries: true,
+            ..coordination.quota_share(now)
         }),
-        ("all descriptors for all", |v, _, now| QuotaShare {
+        ("free retries without waiting for a window", |coordination, observed, now| {
+            let older = observed.peers.iter().any(|p| p.alive && p.serial < observed.serial);
+            QuotaShare { free_retries: !older, ..coordination.quota_share(now) }
+        }),
+        ("all descriptors for each process", |coordination, _, now| QuotaShare {
             descriptors: LIMITS.descriptors,
-            ..v.quota_share(now)
+            ..coordination.quota_share(now)
         }),
-        ("no reserve", |v, seen, now| {
-            let alone = !seen.peers.iter().any(|p| p.alive);
-            let share = v.quota_share(now);
+        ("no reserve for the next process", |coordination, observed, now| {
+            let alone = !observed.peers.iter().any(|p| p.alive);
+            let share = coordination.quota_share(now);
             QuotaShare { descriptors: if alone { LIMITS.descriptors } else { share.descriptors }, ..share }
         }),
-        ("a process that only starts counts as one that serves", |v, seen, now| {
-            let succeeded = seen.peers.iter().any(|p| p.alive && p.serial > seen.serial);
-            QuotaShare { successor_serving: succeeded, ..v.quota_share(now) }
-        }),
-        ("half of what is there for the younger, whatever is leased", |v, seen, now| {
-            let older = seen.peers.iter().any(|p| p.alive && p.serial < seen.serial);
-            let share = v.quota_share(now);
-            QuotaShare {
-                descriptors: if older { LIMITS.descriptors / 2 } else { share.descriptors },
-                ..share
-            }
+        ("a starting process counts as a serving one", |coordination, observed, now| {
+            let succeeded = observed.peers.iter().any(|p| p.alive && p.serial > observed.serial);
+            QuotaShare { successor_serving: succeeded, ..coordination.quota_share(now) }
         }),
+        (
+            "half of the descriptors for the newer process, whatever is leased",
+            |coordination, observed, now| {
+                let older = observed.peers.iter().any(|p| p.alive && p.serial < observed.serial);
+                let share = coordination.quota_share(now);
+                QuotaShare {
+                    descriptors: if older { LIMITS.descriptors / 2 } else { share.descriptors },
+                    ..share
+                }
+            },
+        ),
     ];
     for (what, mutant) in mutants {
-        assert!((0..3000).any(|seed| !play(seed, mutant).is_empty()), "not caught: {what}");
+        assert!((0..3000).any(|seed| !run_seed(seed, mutant).is_empty()), "not caught: {what}");
     }
 }
 
@@ -270,10 +287,10 @@
     };
     let third = Coordination::new(3, LIMITS, vec![peer(1, 200), peer(2, 150)], 0);
     assert_eq!(third.quota_share(0).descriptors, MIN_DESCRIPTORS);
-    // One without a readable state may hold all that one alone may.
+    // A predecessor without a readable state may hold as many as a process that runs alone.
     let next = Coordination::new(2, LIMITS, vec![PeerProcess { serial: 1, alive: true, state: None }], 0);
     assert_eq!(next.quota_share(0).descriptors, LIMITS.descriptors / 3);
-    // Those that are dead hold nothing; their free attempts count for a window.
+    // Dead processes hold no descriptors; their free retries still count for one window.
     let dead = PeerProcess { serial: 1, alive: false, state: Some(state()) };
     let after = Coordination::new(2, LIMITS, vec![dead], 0);
     assert_eq!((after.quota_share(0).descriptors, after.quota_share(0).free_retries), (256, false));
--- a/tests/operation/main.rs
+++ b/tests/operation/main.rs
@@ -1,5 +1,5 @@
-//! The broker as staff run it: its second address, servers out by hand, a pause, and a new process beside the old one.
-//! Several processes of the real program on loopback; what waits waits for a condition.
+//! Tests of the broker's operation: admin endpoint, suspended servers, pause and hot restart. They run
+//! processes of the real program on loopback, and wait for conditions instead of fixed times.
 
 mod catalogue;
 #[path = "../common/mod.rs"]
@@ -9,5 +9,5 @@
 mod rules;
 mod upgrades;
 
-/// The real program.
+/// Path of the compiled program.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pebbleturn");
--- a/tests/operation/processes.rs
+++ b/tests/operation/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the program, called at their second addresses.
+//! Processes of the program, controlled through their admin endpoints.
 
 use super::PROGRAM;
 use pebbleturn_lab::running::*;
@@ -9,12 +9,13 @@
 fn admin_endpoint_responds_beside_a_thousand_silent_callers() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    // Who does not even come in soon need not be waited for: the call behind all of them must.
-    let soon = std::time::Duration::from_millis(50);
+    // Connections that are not accepted in this time are left out; the request sent after them must be
+    // answered.
+    let connect_timeout = std::time::Duration::from_millis(50);
     let idle: Vec<TcpStream> = (0..1000)
         .filter_map(|n| {
-            let mut s = TcpStream::connect_timeout(&process.ops, soon).ok()?;
-            // Some bring a part of a call, some nothing.
+            let mut s = TcpStream::connect_timeout(&process.ops, connect_timeout).ok()?;
+            // Some send a part of a request, some nothing.
             let _ = s.write_all(&b"STAT"[..n % 5]);
             Some(s)
         })
@@ -47,13 +48,13 @@
     }
     process.says_yes("SUSPEND s-0");
     process.says_yes("SUSPEND s-1");
-    // Shard 0 has lost both holders.
+    // Both replicas of shard 0 are suspended.
     assert!(client.ask().unwrap().starts_with("HTTP/1.1 503"));
-    until("the figures agree", || {
-        let f = process.figures();
-        let n = |name: &str| f[name].as_u64().or(f[name]["c"].as_u64()).unwrap();
-        let ends = [n("ok"), n("shed"), n("errors"), n("active")];
-        ends == [20, 1, 0, 0]
+    until("the metrics match", || {
+        let metrics = process.figures();
+        let n = |name: &str| metrics[name].as_u64().or(metrics[name]["c"].as_u64()).unwrap();
+        let counts = [n("ok"), n("shed"), n("errors"), n("active")];
+        counts == [20, 1, 0, 0]
             && n("tries") == site.script.came() as u64
             && (n("pool_size"), n("pool_ejected")) == (3, 2)
     });
@@ -67,18 +68,18 @@
     process.says_yes("SUSPEND s-1");
     process.says_yes("SUSPEND s-1");
     let before = site.script.came_to(1);
-    let asks = |client: &mut Client| {
+    let expect_answers = |client: &mut Client| {
         for _ in 0..20 {
             assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
         }
     };
-    asks(&mut client);
+    expect_answers(&mut client);
     process.signal("-HUP");
     process.wait("discovery stays addr=");
-    asks(&mut client);
+    expect_answers(&mut client);
     assert_eq!(site.script.came_to(1), before);
     process.says_yes("RESTORE s-1");
-    until("it is used again", || client.ask().is_some() && site.script.came_to(1) > before);
+    until("the restored node is used again", || client.ask().is_some() && site.script.came_to(1) > before);
 }
 
 #[test]
@@ -93,20 +94,20 @@
     assert!(ready(door));
     process.says_yes("PAUSE");
     assert!(!ready(door));
-    // Who goes on asking is answered, and each connection ends with an answer that says so.
+    // A client that keeps sending is answered, and the last answer on its connection has `Connection: close`.
     let mut ended = false;
-    until("a busy connection ends", || match busy.ask() {
+    until("the busy connection is closed", || match busy.ask() {
         Some(head) => {
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             ended = head.contains("Connection: close");
             std::thread::sleep(std::time::Duration::from_millis(2));
             ended
         }
-        None => panic!("closed without an answer"),
+        None => panic!("the connection was closed without an answer"),
     });
     assert!(idle.ends_unasked());
     assert!(!ready(door) && process.call("STATUS").starts_with("SUCCESS"));
-    // One that comes all the same is answered.
+    // A client that still connects is answered.
     assert!(Client::connect(door).ask().unwrap().contains("Connection: close"));
     process.says_yes("RESUME");
     assert!(ready(door));
@@ -114,11 +115,11 @@
     for _ in 0..3 {
         assert!(!again.ask().unwrap().contains("Connection: close"));
     }
-    // At once after the word it works too.
+    // A resume directly after the pause works too.
     process.says_yes("PAUSE");
     process.says_yes("RESUME");
     assert!(ready(door) && again.ask().unwrap().starts_with("HTTP/1.1 200"));
-    // The word to end outlasts a pause.
+    // A shutdown that begins during a pause can't be resumed.
     process.says_yes("PAUSE");
     process.signal("-TERM");
     process.wait("graceful shutdown begins");
@@ -145,11 +146,11 @@
     let (code, out, _) = operate(&[&ops, "metrics", "--json"]);
     let figures: serde_json::Value = serde_json::from_str(&out).unwrap();
     assert_eq!((code, &figures["pool_size"]), (Some(0), &3.into()));
-    let (code, out, said) = operate(&[&ops, "suspend", "nobody"]);
-    assert!(code == Some(1) && out.is_empty() && said.contains("never listed"), "{said}");
+    let (code, out, stderr) = operate(&[&ops, "suspend", "nobody"]);
+    assert!(code == Some(1) && out.is_empty() && stderr.contains("never listed"), "{stderr}");
     let (code, out, _) = operate(&[&ops, "--json", "restore", "nobody"]);
-    let no: serde_json::Value = serde_json::from_str(&out).unwrap();
-    assert_eq!((code, &no["ok"]), (Some(1), &false.into()));
+    let response: serde_json::Value = serde_json::from_str(&out).unwrap();
+    assert_eq!((code, &response["ok"]), (Some(1), &false.into()));
     for bad in [&["nowhere", "status"][..], &[&ops, "dance"], &[&ops, "suspend"]] {
         assert_eq!(operate(bad).0, Some(2), "{bad:?}");
     }
@@ -164,31 +165,31 @@
     let site = Site::new(PROGRAM);
     let process = site.start();
     let ops = process.ops.to_string();
-    // Parts of shard 0 at both of its holders take long.
+    // Both replicas of shard 0 answer late.
     let (first, second) = (0, 2);
     site.script.set(&[first, second], &[0], Act::Late(1500));
     let mut client = Client::connect(site.door());
     client.send().unwrap();
-    until("its parts are out", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.came() >= 3);
     assert_eq!(operate(&[&ops, "suspend", "s-0", "--wait", "--within", "60"]).0, Some(0));
     assert_eq!(operate(&[&ops, "suspend", "s-2", "--wait", "--within", "60"]).0, Some(0));
     assert_eq!(process.call("OUT s-0"), "SUCCESS 0\n");
     assert!(client.answer().unwrap().starts_with("HTTP/1.1 200"));
-    // An idle client goes, one that waits for its answer gets it first.
+    // An idle client is disconnected; one that waits for its answer receives it first.
     site.script.set(&[first, second], &[0], Act::Late(2500));
     process.says_yes("RESTORE s-0");
     process.says_yes("RESTORE s-2");
     let mut busy = Client::connect(site.door());
     let before = site.script.came();
     busy.send().unwrap();
-    until("its parts are out", || site.script.came() >= before + 3);
-    let (code, out, said) = operate(&[&ops, "pause", "--wait", "--within", "60"]);
+    until("the parts are sent", || site.script.came() >= before + 3);
+    let (code, out, stderr) = operate(&[&ops, "pause", "--wait", "--within", "60"]);
     assert!(
-        code == Some(0) && !out.is_empty() && said.contains("clients are connected"),
-        "{code:?} {out} {said}"
+        code == Some(0) && !out.is_empty() && stderr.contains("clients are connected"),
+        "{code:?} {out} {stderr}"
     );
     assert!(busy.answer().unwrap().starts_with("HTTP/1.1 200"));
-    // A wait that is too short says so.
+    // A wait that times out has an exit code of its own.
     assert_eq!(operate(&[&ops, "status", "--wait", "--within", "1"]).0, Some(4));
     assert_eq!(operate(&[&ops, "resume", "--wait", "--within", "60"]).0, Some(0));
 }
@@ -209,7 +210,7 @@
     for n in 0..3 {
         process.says_yes(&format!("RESTORE s-{n}"));
     }
-    until("it serves again", || client.ask().unwrap().starts_with("HTTP/1.1 200"));
+    until("the broker serves again", || client.ask().unwrap().starts_with("HTTP/1.1 200"));
 }
 
 #[test]
@@ -229,17 +230,17 @@
         assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
     }
     assert_eq!(site.script.came_to(1) + site.script.came_to(7), before);
-    // It goes and comes back: still out.
+    // The node is removed and listed again: it stays suspended.
     site.directory.change(line("s-1", moved, "", 1, NodeState::Gone));
-    until("it is gone", || process.figures()["pool_size"] == 2);
+    until("the node is removed", || process.figures()["pool_size"] == 2);
     site.directory.change(line("s-1", moved, "", 1, NodeState::Ready));
-    until("it is back", || process.figures()["pool_size"] == 3);
+    until("the node is listed again", || process.figures()["pool_size"] == 3);
     for _ in 0..20 {
         assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
     }
     assert_eq!(site.script.came_to(7), 0);
     process.says_yes("RESTORE s-1");
-    until("it is used again", || client.ask().is_some() && site.script.came_to(7) > 0);
+    until("the restored node is used again", || client.ask().is_some() && site.script.came_to(7) > 0);
 }
 
 #[test]
@@ -251,20 +252,20 @@
     let load = Load::start(&site, 6);
     load.more(50);
     process.says_yes("SUSPEND s-1");
-    let at = site.nodes[1];
+    let addr = site.nodes[1];
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let mut restarted = line("s-1", at, "", 1, NodeState::Ready);
+    let mut restarted = line("s-1", addr, "", 1, NodeState::Ready);
     restarted.started_ms = now.as_millis() as u64 + 500;
     let before = site.script.came_to(1);
     site.directory.change(restarted);
     process.wait("endpoints=1 full=false");
     process.says_yes("RESTORE s-1");
-    until("it is used again", || site.script.came_to(1) > before);
+    until("the restored node is used again", || site.script.came_to(1) > before);
     load.more(50);
     process.says_yes("SUSPEND s-1");
     process.says_yes("RESTORE s-1");
     let again = site.script.came_to(1);
-    until("and again", || site.script.came_to(1) > again);
+    until("the restored node is used once more", || site.script.came_to(1) > again);
     assert_eq!((load.refused(), load.end()), (0, 0));
 }
 
@@ -284,7 +285,8 @@
     let paused = std::time::Instant::now();
     half.stream.write_all(&text.as_bytes()[cut..]).unwrap();
     assert!(half.answer().unwrap().starts_with("HTTP/1.1 200"));
-    // Three at once, answered by slow servers, so that the first answers come once connections are being ended.
+    // Three pipelined requests to slow servers, so that the first answers arrive while connections are being
+    // closed.
     use pebbleturn_lab::standins::Act;
     site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(400));
     let three: String = (0..3).map(|_| ahead.request()).collect();
@@ -294,16 +296,17 @@
             Some(head) => {
                 assert!(head.starts_with("HTTP/1.1 200"), "{head}");
                 let last = head.contains("Connection: close");
-                // Only on a machine so slow that the time for that was over may one be left.
+                // An answer may be missing only on a machine so slow that the time for pipelined answers is
+                // over.
                 assert!(!last || n == 2 || paused.elapsed().as_millis() > 1500, "answer {n} was the last");
             }
             None => assert!(paused.elapsed().as_millis() > 1500, "answer {n} did not come"),
         }
     }
-    // Who never completes its request is told so, and closed.
+    // A client that never completes its request is closed, with no response other than a 408.
     assert!(never.answer().is_none_or(|head| head.starts_with("HTTP/1.1 408")));
     assert!(half.ends_unasked());
-    until("all are gone", || process.call("CLIENTS") == "SUCCESS 0\n");
+    until("all clients are disconnected", || process.call("CLIENTS") == "SUCCESS 0\n");
     process.says_yes("RESUME");
 }
 
@@ -315,7 +318,7 @@
     site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(400));
     let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(site.door())).collect();
     clients.iter_mut().for_each(|c| c.send().unwrap());
-    until("all are at work", || process.figures()["active"] == 8);
+    until("all queries are active", || process.figures()["active"] == 8);
     process.signal("-TERM");
     process.wait("graceful shutdown begins");
     assert!(process.says_no("STATUS").contains("ends"));
@@ -323,7 +326,7 @@
     let answers = clients.iter_mut().filter_map(Client::answer);
     assert_eq!(answers.filter(|head| head.starts_with("HTTP/1.1 200")).count(), 8);
     drop(clients);
-    // Until the process is gone, figures come whole and never fall.
+    // Until the process ends, each metrics response is complete and no counter decreases.
     loop {
         let answer = process.call("METRICS");
         let Some(line) = answer.strip_suffix("\nEOT\n") else { break };
@@ -339,16 +342,16 @@
 #[test]
 fn clients_with_partial_requests_in_all_buffers_do_not_block_responses() {
     let site = Site::new(PROGRAM);
-    // Sixteen MB make 58 buffers of one message each, 44 of them for clients.
+    // 16 MB give 58 buffers of one message each, 44 of them for clients.
     let process = site.begin_within((1000, 16));
-    until("it serves and knows the list", || {
+    until("the process serves and has the endpoint list", || {
         process.call("STATUS").starts_with("SUCCESS") && process.figures()["pool_size"] == 3
     });
     let half = format!("POST /api HTTP/1.1\r\nContent-Length: 60000\r\n\r\n{}", " ".repeat(30_000));
-    let hoarders: Vec<Client> = (0..150)
+    let partial_clients: Vec<Client> = (0..150)
         .map(|_| {
             let mut client = Client::connect(site.door());
-            // One that was closed for its buffer can't bring all of it.
+            // Fails where the connection was closed to free its buffer.
             let _ = client.stream.write_all(half.as_bytes());
             client
         })
@@ -359,5 +362,5 @@
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
         process.says_yes("STATUS");
     }
-    assert_eq!((process.figures()["ok"]["c"].as_u64(), hoarders.len()), (Some(10), 150));
+    assert_eq!((process.figures()["ok"]["c"].as_u64(), partial_clients.len()), (Some(10), 150));
 }
--- a/tests/operation/upgrades.rs
+++ b/tests/operation/upgrades.rs
@@ -1,4 +1,4 @@
-//! A new process beside the old one: the two are one broker.
+//! Hot restarts with real processes: the old process and the new one act as one broker.
 
 use super::PROGRAM;
 use pebbleturn_lab::running::*;
@@ -12,7 +12,7 @@
     let mut lost = 0;
     for _ in 0..3 {
         let new = site.start();
-        // It leaves by itself, before any signal.
+        // The old process shuts down without a signal.
         old.wait("another process serves at this address");
         old.ends();
         load.more(50);
@@ -42,14 +42,14 @@
         old = new;
     }
     assert_eq!(site.script.came_to(1), before);
-    // A word to either of two that run reaches both: the older one is kept from leaving by being stopped.
+    // A command to one of two running processes reaches both. SIGSTOP keeps the old one from shutting down.
     old.signal("-STOP");
     let new = site.start();
     new.says_yes("RESTORE s-1");
     new.says_yes("SUSPEND s-2");
     old.signal("-CONT");
     old.wait("another process serves at this address");
-    until("it is used again", || {
+    until("the restored node is used again", || {
         Client::connect(site.door()).ask().unwrap().starts_with("HTTP/1.1 200")
             && site.script.came_to(1) > before
     });
@@ -61,16 +61,16 @@
     use pebbleturn_lab::standins::Act;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    // A query that takes long keeps the old one.
+    // A slow query keeps the old process running.
     site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(3000));
     let mut client = Client::connect(site.door());
     client.send().unwrap();
-    until("its parts are out", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.came() >= 3);
     let new = site.start();
     old.wait("another process serves at this address");
     assert_eq!(new.figures()["pool_ejected"], 0);
     old.says_yes("SUSPEND s-1");
-    until("the new one knows", || new.figures()["pool_ejected"] == 1);
+    until("the new process has the suspension", || new.figures()["pool_ejected"] == 1);
     assert!(client.answer().unwrap().starts_with("HTTP/1.1 200"));
     old.ends();
     new.says_yes("RESTORE s-1");
@@ -86,22 +86,23 @@
     old.ends();
     assert!(!ready(site.door()) && new.call("STATUS").contains("paused"));
     new.says_yes("RESUME");
-    until("it is ready", || ready(site.door()));
+    until("the broker is ready", || ready(site.door()));
 }
 
-/// The old process was paused while the new one ran, and ended before that looked again: the new one found it dead, took
-/// its pause for one that had ended with it, and sent clients to a broker that an operator had paused. With processes
-/// that start and end by chance it was so in 5 of 288 runs.
+/// Guards against a lost pause. The old process is paused while the new one runs, and ends before the new one
+/// observes it again. The new process then took the pause for one that ended with the dead process, and was
+/// ready although an operator had paused the broker. With processes that start and end at random, 5 of 288
+/// runs failed this way.
 #[test]
 fn pause_holds_though_its_process_ends_before_the_new_one_looks_again() {
     use pebbleturn_lab::standins::Act;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    // A query that takes long keeps the old one.
+    // A slow query keeps the old process running.
     site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(3000));
     let mut client = Client::connect(site.door());
     client.send().unwrap();
-    until("its parts are out", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.came() >= 3);
     let new = site.start();
     old.wait("another process serves at this address");
     new.signal("-STOP");
@@ -111,9 +112,9 @@
     until("the pause is written", is_paused);
     old.kill();
     new.signal("-CONT");
-    until("the new one is paused", || new.call("STATUS").contains("paused") && !ready(site.door()));
+    until("the new process is paused", || new.call("STATUS").contains("paused") && !ready(site.door()));
     new.says_yes("RESUME");
-    until("it is ready", || ready(site.door()));
+    until("the broker is ready", || ready(site.door()));
 }
 
 #[test]
@@ -123,12 +124,12 @@
     old.says_yes("PAUSE");
     old.says_yes("SUSPEND s-1");
     let dir = site.tmp.path().join("pebbleturn-handover");
-    let left = || std::fs::read_to_string(dir.join("1.state")).unwrap_or_default();
-    until("the words are on the shelf", || left().contains("s-1"));
+    let state = || std::fs::read_to_string(dir.join("1.state")).unwrap_or_default();
+    until("the overrides are written", || state().contains("s-1"));
     old.kill();
     let new = site.start();
-    // Until what the dead one left is thrown away, it is read again and again.
-    until("it is thrown away", || {
+    // The state of the dead process is read at each poll until it is removed.
+    until("the state of the dead process is removed", || {
         assert_eq!(new.call("STATUS"), "SUCCESS serving\n");
         !dir.join("1.state").exists()
     });
@@ -140,7 +141,7 @@
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     let load = Load::start(&site, 4);
-    // Half of the descriptors are taken by idle clients.
+    // Idle clients use half of the descriptors.
     let idle: Vec<Client> = (0..60).map(|_| Client::connect(site.door())).collect();
     old.says_yes("SUSPEND s-0");
     for _ in 0..3 {
@@ -166,7 +167,7 @@
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     old.says_yes("SUSPEND s-1");
-    until("the word is on the shelf", || {
+    until("the suspension is written", || {
         let dir = site.tmp.path().join("pebbleturn-handover");
         let files =
             std::fs::read_dir(dir).unwrap().filter_map(|f| std::fs::read_to_string(f.ok()?.path()).ok());
@@ -174,8 +175,8 @@
     });
     let new = site.begin();
     old.kill();
-    until("the new one serves", || new.call("STATUS").starts_with("SUCCESS"));
-    until("it knows", || new.figures()["pool_size"] == 3 && new.figures()["pool_ejected"] == 1);
+    until("the new process serves", || new.call("STATUS").starts_with("SUCCESS"));
+    until("the state is merged", || new.figures()["pool_size"] == 3 && new.figures()["pool_ejected"] == 1);
     let mut client = Client::connect(site.door());
     assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
     assert_eq!(site.script.came_to(1), 0);
@@ -188,7 +189,7 @@
     old.says_yes("SUSPEND s-1");
     let dir = site.tmp.path().join("pebbleturn-handover");
     let state = dir.join("1.state");
-    until("the word is on the shelf", || {
+    until("the suspension is written", || {
         std::fs::read_to_string(&state).is_ok_and(|f| f.contains("\"out\": true"))
     });
     old.kill();
@@ -206,7 +207,7 @@
         let _ = std::fs::remove_file(dir.join("1.list"));
         std::fs::write(dir.join(format!("{}.lock", n + 2)), "").unwrap();
     }
-    // Whole again, it is believed.
+    // The complete state is used.
     std::fs::write(&state, &whole).unwrap();
     let new = site.start();
     assert_eq!(new.figures()["pool_ejected"], 1);
@@ -216,21 +217,21 @@
 fn upgrade_with_half_of_the_descriptors_in_use_stays_within_the_limit_of_one() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    // Idle clients up to what one process takes, with some that ask beside them.
+    // Idle clients up to the limit of one process, and some that send queries.
     let idle: Vec<Client> = (0..190).map(|_| Client::connect(site.door())).collect();
     let load = Load::start(&site, 4);
     load.more(50);
     let new = site.begin();
-    // Until it runs the program, its descriptors are those of this test.
+    // Before the new process executes the program, its descriptors are those of this test.
     new.wait("at this address");
     let mut most = 0;
-    until("the old one has left", || {
+    until("the old process has shut down", || {
         most = most.max(old.descriptors() + new.descriptors());
         old.said("graceful shutdown is complete")
     });
     old.ends();
     load.more(50);
-    assert!(most <= 384, "{most} descriptors were held together");
+    assert!(most <= 384, "the two processes held {most} descriptors");
     drop(idle);
     assert_eq!(load.end(), 0);
 }
