--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -54,6 +54,6 @@
     }
 }
 
-pub fn line(n: u32, state: ReplicaState, started: Option<Nanos>) -> ReplicaEntry {
+pub fn replica_entry(n: u32, state: ReplicaState, started: Option<Nanos>) -> ReplicaEntry {
     ReplicaEntry { replica: ReplicaId(n), zone: 0, cell: n % 6, state, started, weight: 1.0 }
 }
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,7 +1,7 @@
 //! Connections whose poll loop is driven by the test: what comes between a poll and a call.
 
 mod common;
-use common::{MS, S, line, settings};
+use common::{MS, S, replica_entry, settings};
 use pebbleturn::engine::*;
 use pebbleturn::frontends::platform::{RequestContext, Upstream, UpstreamLimits};
 use pebbleturn::net::{Clock, ConnId, NetEvent, Offer, PollLoop, Pool};
@@ -25,7 +25,7 @@
     fn new(effect: Idempotency, listener: &TcpListener) -> UpstreamBench {
         let clock = Clock::start();
         let mut engine = QueryEngine::new(settings(effect), 7, clock.now()).unwrap();
-        engine.update_endpoints(true, vec![line(0, ReplicaState::Active, None)]);
+        engine.update_endpoints(true, vec![replica_entry(0, ReplicaState::Active, None)]);
         let limits = UpstreamLimits { streams: 8, dial_timeout: 5 * S, idle: 30 * S, silent: 5 * S, most: 8 };
         let mut upstream = Upstream::new(0, limits);
         upstream.place(ReplicaId(0), Some(listener.local_addr().unwrap()));
--- a/tests/operation/rules.rs
+++ b/tests/operation/rules.rs
@@ -186,7 +186,7 @@
 /// Runs random steps through the engine, one for each byte pair. Returns the engine's metrics, and the counts
 /// taken from its actions: served, rejected, failed and open queries.
 fn run_random_steps(steps: &[(u8, u8)]) -> ([u64; 4], [u64; 4]) {
-    use crate::common::{line, settings};
+    use crate::common::{replica_entry, settings};
     use pebbleturn::engine::{
         AttemptId, AttemptOutcome, EngineAction, PartRequest, QueryEngine, QueryId, QueryOutcome,
         QueryRequest,
@@ -195,7 +195,7 @@
     let settings =
         pebbleturn::Settings { max_in_flight: 20, retry_budget: None, ..settings(Idempotency::Idempotent) };
     let mut engine: QueryEngine<(), u8> = QueryEngine::new(settings, 7, 0).unwrap();
-    engine.update_endpoints(true, (0..6).map(|n| line(n, ReplicaState::Active, None)).collect());
+    engine.update_endpoints(true, (0..6).map(|n| replica_entry(n, ReplicaState::Active, None)).collect());
     let (mut now, mut counted) = (0, [0; 4]);
     let (mut attempts, mut open): (Vec<AttemptId>, Vec<QueryId>) = (vec![], vec![]);
     for (step, n) in steps {
--- a/tests/policy/answer.rs
+++ b/tests/policy/answer.rs
@@ -80,7 +80,7 @@
     // Nothing is in flight and no replica is left: waiting until the client's deadline would be useless.
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     let (query, _) = broker.query(0, &[0], 2 * S);
-    let removals = (0..6).map(|n| line(n, ReplicaState::Removed, None)).collect();
+    let removals = (0..6).map(|n| replica_entry(n, ReplicaState::Removed, None)).collect();
     broker.at(10 * MS, &[Event::EndpointList { full: true, entries: removals }]);
     broker.now = 20 * MS;
     let ended: Vec<Event> = broker.sent.iter().map(|s| broker.ended(s, Outcome::ConnectionReset)).collect();
--- a/tests/policy/broker.rs
+++ b/tests/policy/broker.rs
@@ -4,7 +4,10 @@
 use pebbleturn::*;
 
 pub fn full_list() -> Event {
-    Event::EndpointList { full: true, entries: (0..6).map(|n| line(n, ReplicaState::Active, None)).collect() }
+    Event::EndpointList {
+        full: true,
+        entries: (0..6).map(|n| replica_entry(n, ReplicaState::Active, None)).collect(),
+    }
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/tests/policy/rules.rs
+++ b/tests/policy/rules.rs
@@ -90,7 +90,8 @@
 #[test]
 fn nothing_is_sent_to_a_draining_or_removed_replica() {
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
-    let changes = vec![line(0, ReplicaState::Draining, None), line(1, ReplicaState::Removed, None)];
+    let changes =
+        vec![replica_entry(0, ReplicaState::Draining, None), replica_entry(1, ReplicaState::Removed, None)];
     broker.at(MS, &[Event::EndpointList { full: false, entries: changes }]);
     for k in 0..60 {
         broker.query(2 * MS + k * 20 * MS, &[4, 5, 0, 1], 2 * S);
@@ -106,10 +107,14 @@
     let mut broker = ScriptedBroker::new(settings(Idempotency::Idempotent));
     broker.at(
         MS,
-        &[Event::EndpointList { full: false, entries: vec![line(2, ReplicaState::Active, Some(MS))] }],
+        &[Event::EndpointList {
+            full: false,
+            entries: vec![replica_entry(2, ReplicaState::Active, Some(MS))],
+        }],
     );
     // The two other replicas of shard 2 are removed, so its parts can go to no other replica.
-    let removals = vec![line(3, ReplicaState::Removed, None), line(4, ReplicaState::Removed, None)];
+    let removals =
+        vec![replica_entry(3, ReplicaState::Removed, None), replica_entry(4, ReplicaState::Removed, None)];
     broker.at(2 * MS, &[Event::EndpointList { full: false, entries: removals }]);
     let mut received = 0;
     for k in 0..100 {
@@ -241,8 +246,10 @@
     // Replicas 0, 1 and 2 hold shard 0; they differ only in their weights.
     let mut broker = ScriptedBroker::new(Settings { may_hedge: false, ..settings(Idempotency::Idempotent) });
     let weights = [1.0, 3.0, 6.0];
-    let lines =
-        (0..3).map(|n| ReplicaEntry { weight: weights[n as usize], ..line(n, ReplicaState::Active, None) });
+    let lines = (0..3).map(|n| ReplicaEntry {
+        weight: weights[n as usize],
+        ..replica_entry(n, ReplicaState::Active, None)
+    });
     broker.at(0, &[Event::EndpointList { full: true, entries: lines.collect() }]);
     let mut counts = [0.0; 3];
     for n in 0..4000u64 {
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -7,7 +7,7 @@
 #[test]
 fn a_new_replica_gets_one_part_at_once_and_more_once_it_has_warmed_up() {
     let mut broker = ScriptedBroker::new(Settings { may_hedge: false, ..settings(Idempotency::Idempotent) });
-    let cold = (0..3).map(|n| line(n, ReplicaState::Active, Some(1))).collect();
+    let cold = (0..3).map(|n| replica_entry(n, ReplicaState::Active, Some(1))).collect();
     broker.at(MS, &[Event::EndpointList { full: false, entries: cold }]);
     // Replicas 0, 1 and 2 hold shard 0: each gets one part at once, and only a small share of the next ones.
     for n in 0..4 {
@@ -39,7 +39,7 @@
         MS,
         &[Event::EndpointList {
             full: false,
-            entries: (2..6).map(|n| line(n, ReplicaState::Active, Some(1))).collect(),
+            entries: (2..6).map(|n| replica_entry(n, ReplicaState::Active, Some(1))).collect(),
         }],
     );
     run_queries(&mut broker, 200, |_| Some(60 * MS));
@@ -75,7 +75,7 @@
         MS,
         &[Event::EndpointList {
             full: false,
-            entries: (0..6).map(|n| line(n, ReplicaState::Active, Some(1))).collect(),
+            entries: (0..6).map(|n| replica_entry(n, ReplicaState::Active, Some(1))).collect(),
         }],
     );
     run_queries(&mut broker, 200, |_| Some(60 * MS));
--- a/tests/query_engine.rs
+++ b/tests/query_engine.rs
@@ -1,7 +1,7 @@
 //! Tests of the query engine without sockets. Time is an argument, so nothing waits.
 
 mod common;
-use common::{MS, S, line, settings};
+use common::{MS, S, replica_entry, settings};
 use pebbleturn::engine::*;
 use pebbleturn::*;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
         let mut s = settings(Idempotency::Idempotent);
         change(&mut s);
         let mut engine = QueryEngine::new(s, 7, 0).unwrap();
-        engine.update_endpoints(true, (0..6).map(|n| line(n, ReplicaState::Active, None)).collect());
+        engine.update_endpoints(true, (0..6).map(|n| replica_entry(n, ReplicaState::Active, None)).collect());
         let mut harness = EngineHarness {
             engine,
             now: 0,
@@ -232,7 +232,9 @@
         assert!(harness.engine.begin_attempt(harness.now, request.attempt));
         harness.engine.attempt_deferred(request.attempt);
         if drains {
-            harness.engine.update_endpoints(false, vec![line(replica.0, ReplicaState::Draining, None)]);
+            harness
+                .engine
+                .update_endpoints(false, vec![replica_entry(replica.0, ReplicaState::Draining, None)]);
         }
         // In a non-idempotent class, an attempt that had started could not start again.
         assert_eq!(harness.engine.begin_attempt(harness.now, request.attempt), !drains);
--- a/tests/recorded_decisions/engine.rs
+++ b/tests/recorded_decisions/engine.rs
@@ -3,7 +3,7 @@
 //! Covered: work, refusals, endings of attempts, answers to `begin`, due times, counts of what is held, and the
 //! figures of ended queries as far as they are numbers. Payloads are handed through and checked nowhere else here.
 
-use crate::common::{MS, S, class, line, settings};
+use crate::common::{MS, S, class, replica_entry, settings};
 use crate::digest::Digest;
 use crate::{RandomSource, Recorded, assert_recorded};
 use pebbleturn::engine::*;
@@ -81,8 +81,10 @@
 impl Simulation {
     fn new(seed: u64) -> Simulation {
         let mut exchange = QueryEngine::new(exchange_settings(), seed, 0).expect("usable settings");
-        exchange
-            .update_endpoints(true, (0..6).map(|number| line(number, ReplicaState::Active, None)).collect());
+        exchange.update_endpoints(
+            true,
+            (0..6).map(|number| replica_entry(number, ReplicaState::Active, None)).collect(),
+        );
         Simulation {
             exchange,
             random: RandomSource::new(seed),
@@ -151,17 +153,21 @@
         match step % 400 {
             50 => self.down = Some(replica),
             120 => self.down = None,
-            160 => self.exchange.update_endpoints(false, vec![line(number, ReplicaState::Draining, None)]),
-            200 => self.exchange.update_endpoints(false, vec![line(number, ReplicaState::Removed, None)]),
+            160 => self
+                .exchange
+                .update_endpoints(false, vec![replica_entry(number, ReplicaState::Draining, None)]),
+            200 => self
+                .exchange
+                .update_endpoints(false, vec![replica_entry(number, ReplicaState::Removed, None)]),
             240 => self
                 .exchange
-                .update_endpoints(false, vec![line(number, ReplicaState::Active, Some(self.now))]),
+                .update_endpoints(false, vec![replica_entry(number, ReplicaState::Active, Some(self.now))]),
             280 => self.exchange.replica_warmed_up(replica),
             300 => self.exchange.watch_failed(),
             320 => self.exchange.set_free_retries(self.random.chance(50)),
             340 => self.exchange.limit_in_flight(60 + self.random.index(80)),
             360 => {
-                let lines = (0..6).map(|number| line(number, ReplicaState::Active, None)).collect();
+                let lines = (0..6).map(|number| replica_entry(number, ReplicaState::Active, None)).collect();
                 self.exchange.update_endpoints(true, lines);
             }
             _ => {}
--- a/tests/recorded_decisions/policy.rs
+++ b/tests/recorded_decisions/policy.rs
@@ -3,7 +3,7 @@
 //! Covered: all events and actions, and the number of ejected replicas after each round. Left out: nothing that
 //! can be reached through the interface.
 
-use crate::common::{MS, S, class, line, settings};
+use crate::common::{MS, S, class, replica_entry, settings};
 use crate::digest::{ACTION_KINDS, Digest, action_tag};
 use crate::{RandomSource, Recorded, assert_recorded};
 use pebbleturn::*;
@@ -51,7 +51,8 @@
 
 impl Simulation {
     fn new(settings: Settings, seed: u64) -> Simulation {
-        let lines: Vec<ReplicaEntry> = (0..REPLICAS).map(|n| line(n, ReplicaState::Active, None)).collect();
+        let lines: Vec<ReplicaEntry> =
+            (0..REPLICAS).map(|n| replica_entry(n, ReplicaState::Active, None)).collect();
         let list = Event::EndpointList { full: true, entries: lines.clone() };
         Simulation {
             balancer: Balancer::new(settings.clone(), seed, 0).expect("usable settings"),
@@ -156,9 +157,9 @@
     fn restart(&mut self, replica: ReplicaId) {
         let back = 800 * MS;
         let started = Some(self.now + back);
-        self.schedule(0, news(line(replica.0, ReplicaState::Draining, None)));
-        self.schedule(400 * MS, news(line(replica.0, ReplicaState::Removed, None)));
-        let fresh = line(replica.0, ReplicaState::Active, started);
+        self.schedule(0, news(replica_entry(replica.0, ReplicaState::Draining, None)));
+        self.schedule(400 * MS, news(replica_entry(replica.0, ReplicaState::Removed, None)));
+        let fresh = replica_entry(replica.0, ReplicaState::Active, started);
         self.lines[replica.0 as usize] = fresh.clone();
         self.schedule(back, news(fresh));
         if self.random.chance(50) {
