--- a/src/maintenance/permits.rs
+++ b/src/maintenance/permits.rs
@@ -300,7 +300,7 @@
     /// # Errors
     ///
     /// [`PermitError::StaleFencingToken`].
-    pub fn write_off(&self, machine: &str, fencing_token: u64) -> Result<Permits, PermitError> {
+    pub fn force_release(&self, machine: &str, fencing_token: u64) -> Result<Permits, PermitError> {
         self.checked_permit(machine, fencing_token)?;
         Ok(self.without(machine))
     }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -65,8 +65,8 @@
         Err(PermitError::StaleFencingToken { given: 1, current: Some(3) })
     );
     // A person writes it off by name, whatever its step.
-    assert_eq!(p.write_off("m-0", 1).unwrap().active().count(), 0);
-    assert_eq!(p.write_off("m-0", 2), Err(PermitError::StaleFencingToken { given: 2, current: Some(1) }));
+    assert_eq!(p.force_release("m-0", 1).unwrap().active().count(), 0);
+    assert_eq!(p.force_release("m-0", 2), Err(PermitError::StaleFencingToken { given: 2, current: Some(1) }));
 }
 
 #[test]
@@ -218,7 +218,7 @@
             return Some((read.advance("m-0", 1, MaintenancePhase::UnderMaintenance, 7).ok()?, "m-0"));
         }
         let ended = match self.broken {
-            BrokenRule::Expires => read.write_off("m-0", 1),
+            BrokenRule::Expires => read.force_release("m-0", 1),
             _ => read.release("m-0", 1),
         };
         let granted = grant(&ended.unwrap_or(read.clone()), "m-2", &rules(1, 1)).ok()?;
--- a/tests/recorded_replication/permits.rs
+++ b/tests/recorded_replication/permits.rs
@@ -203,7 +203,7 @@
             }
             1 | 2 => table.advance(&machine, fence, STEPS[pick(&mut self.random, STEPS.len())], self.now),
             3..=5 => table.release(&machine, fence),
-            6 => table.write_off(&machine, fence),
+            6 => table.force_release(&machine, fence),
             _ => table.advance(&machine, fence, usual, self.now),
         }
     }
