--- a/src/replication/anti_entropy/message.rs
+++ b/src/replication/anti_entropy/message.rs
@@ -1,46 +1,46 @@
-//! The messages of anti-entropy, and facts in parts that fit them.
+//! The messages of anti-entropy, and the splitting of facts into parts that fit them.
 
 use crate::replication::fact::{Fact, FactKey, FactValue};
 use crate::replication::merkle_tree::LEAF_COUNT;
 use serde::{Deserialize, Serialize};
 
-/// Most bytes of facts in a message. A single part that is larger travels alone.
+/// Maximum bytes of facts in a message. A single part that is larger is sent alone.
 pub const MAX_FACT_BYTES: usize = 24 * 1024;
-/// Most branches of which one message requests the leaves.
+/// Maximum number of branches whose leaves one message requests.
 pub(super) const MAX_BRANCHES_PER_MESSAGE: usize = 16;
-/// Most leaves of which one message requests the facts.
+/// Maximum number of leaves whose facts one message requests.
 pub(super) const MAX_LEAVES_PER_MESSAGE: usize = 256;
-/// Most commands of one register in a part.
+/// Maximum number of commands in one part of a register.
 const MAX_COMMANDS_PER_PART: usize = 8;
-/// Most ranges of one origin in a part.
+/// Maximum number of ranges in one part of an origin's collected dots.
 const MAX_RANGES_PER_PART: usize = 512;
 
-const _: () = assert!(LEAF_COUNT <= 1 << 16, "messages have leaves as u16");
+const _: () = assert!(LEAF_COUNT <= 1 << 16, "messages encode leaf indexes as u16");
 
-/// A position in a leaf.
+/// A position among the facts of a leaf, at which a response stops and the next one continues.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct SyncPosition {
     /// The key of the fact.
     pub key: FactKey,
-    /// How many parts of the fact precede the position.
+    /// The number of parts of the fact that precede the position.
     pub parts: u32,
 }
 
 /// A message of a session. Requests go from the initiator to the responder.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum SyncMessage {
-    /// Request: the digests of all branches.
+    /// Requests the digests of all branches.
     Begin {
-        /// The initiator's root.
+        /// The digest of the initiator's root.
         root: u64,
     },
     /// Response to [`SyncMessage::Begin`].
     #[serde(rename = "Branches")]
     BranchDigests {
-        /// The responder's digests; none if its root is equal.
+        /// The responder's digests; empty if its root is equal.
         digests: Vec<u64>,
     },
-    /// Request: the digests of the leaves of these branches.
+    /// Requests the digests of the leaves of these branches.
     #[serde(rename = "AskLeaves")]
     RequestLeaves {
         /// The indexes of the branches.
@@ -52,23 +52,23 @@
         /// The index of each branch with the digests of its leaves.
         digests: Vec<(u8, Vec<u64>)>,
     },
-    /// Request: the facts of these leaves.
+    /// Requests the facts of these leaves.
     #[serde(rename = "AskFacts")]
     RequestFacts {
         /// The indexes of the leaves.
         leaves: Vec<u16>,
-        /// The position in the first leaf at which to begin; none for its first fact.
+        /// The position in the first leaf at which to begin; if none, at its first fact.
         from: Option<SyncPosition>,
     },
     /// Response to [`SyncMessage::RequestFacts`].
     Facts {
         /// The facts, large ones in parts.
         facts: Vec<Fact>,
-        /// The leaf and the position at which to continue, unless all facts are in the message.
+        /// The leaf and the position at which to continue; none if the message completes the request.
         #[serde(rename = "stopped")]
         resume_at: Option<(u16, SyncPosition)>,
     },
-    /// Request: to join facts that the responder lacks.
+    /// Sends facts that the responder lacks, which it joins.
     #[serde(rename = "Give")]
     Push {
         /// The facts, large ones in parts.
@@ -80,7 +80,7 @@
 }
 
 impl SyncMessage {
-    /// The facts that the message carries. Whoever receives it joins them before it is handled.
+    /// The facts that the message carries. The receiver joins them before it handles the message.
     pub fn facts(&self) -> &[Fact] {
         match self {
             SyncMessage::Facts { facts, .. } | SyncMessage::Push { facts } => facts,
@@ -94,7 +94,7 @@
     postcard::experimental::serialized_size(fact).unwrap_or(usize::MAX)
 }
 
-/// Splits a fact into parts which fit messages and join to the whole fact.
+/// Splits a fact into parts that fit messages and join to the whole fact.
 pub(super) fn split_fact(key: &FactKey, value: &FactValue) -> Vec<Fact> {
     let parts = match value {
         FactValue::Commands(register) => {
@@ -108,7 +108,7 @@
     parts.into_iter().map(|part| (key.clone(), part)).collect()
 }
 
-/// The facts of one message, up to [`MAX_FACT_BYTES`].
+/// The facts of one message, up to [`MAX_FACT_BYTES`] in total.
 #[derive(Debug, Default)]
 pub(super) struct FactBatch {
     facts: Vec<Fact>,
--- a/src/replication/anti_entropy/mod.rs
+++ b/src/replication/anti_entropy/mod.rs
@@ -1,13 +1,14 @@
-//! Anti-entropy: reconciling two stores over a connection, one of which sends requests and the other only
+//! Anti-entropy: reconciles two stores over a connection. The initiator sends requests, the responder only
 //! responds.
 //!
-//! The initiator first finds where the stores differ, by the digests of branches and then of leaves. For the
-//! leaves that differ it requests the peer's facts, joins them, and pushes what the peer lacks. Messages are
-//! bounded, one request is in flight at a time, and a session has a budget: what remains after it is left to
-//! the next session. A session that breaks off loses nothing, since the facts that were joined stay.
+//! The initiator first compares the digests of branches, then those of the leaves of branches that differ.
+//! For the leaves that differ it requests the peer's facts, joins them, and pushes the facts that the peer
+//! lacks. Messages are bounded, one request is in flight at a time, and a session has a budget: differences
+//! that remain when it is used up are left to the next session. An interrupted session loses nothing, since
+//! the facts joined so far are kept.
 //!
-//! - [`message`]: requests and responses, and facts in parts that fit them;
-//! - [`responder`]: the stateless side;
+//! - [`message`]: requests and responses, and the splitting of facts into parts that fit them;
+//! - [`responder`]: the stateless responding side;
 //! - [`session`]: the initiator's state machine.
 
 pub mod message;
@@ -21,16 +22,17 @@
 /// A message that the protocol does not permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnexpectedMessage {
-    /// It is not the response that the session awaits, or no request.
-    #[error("a message that is not expected in this state")]
+    /// It is not the response that the session awaits; at the responder, it is not a request.
+    #[error("message is not expected in this state")]
     OutOfTurn,
-    /// A request asks for more branches or leaves than one message may.
-    #[error("a request for more than one message may ask for")]
+    /// A request lists more branches or leaves than the limits permit.
+    #[error("request lists too many branches or leaves")]
     TooManyRequested,
-    /// Digests are not as many as a branch has leaves, or name a branch that does not exist.
-    #[error("digests that no tree has")]
+    /// The number of digests is not the fan-out of the tree, or the index of a branch is out of range.
+    #[error("digests do not match the shape of the tree")]
     InvalidDigests,
-    /// A response stops at a leaf that was not requested, or without any fact, and would go on for ever.
-    #[error("a position at which no response stops")]
+    /// A response stops at a leaf that was not requested, or carries no fact. Without this check the session
+    /// might never end.
+    #[error("response stops at an invalid position")]
     InvalidPosition,
 }
--- a/src/replication/anti_entropy/responder.rs
+++ b/src/replication/anti_entropy/responder.rs
@@ -1,4 +1,4 @@
-//! The responding side of anti-entropy, which has no state of its own.
+//! The stateless responding side of anti-entropy.
 
 use super::UnexpectedMessage;
 use super::message::{
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// [`UnexpectedMessage`] if the message is no request, or asks for too much at once.
+/// [`UnexpectedMessage`] if the message is not a request, or requests too many branches or leaves.
 pub fn respond(store: &StateStore, request: &SyncMessage) -> Result<SyncMessage, UnexpectedMessage> {
     match request {
         SyncMessage::Begin { root } => Ok(branch_digests(store, *root)),
--- a/src/replication/anti_entropy/session.rs
+++ b/src/replication/anti_entropy/session.rs
@@ -17,7 +17,7 @@
     AwaitingFacts {
         /// The leaves that were requested.
         leaves: Vec<u16>,
-        /// The exclusive or of the hashes of the parts that arrived, by fact.
+        /// The exclusive or of the hashes of the parts that were received, by fact.
         received: BTreeMap<FactKey, u64>,
     },
     AwaitingPushAccepted,
@@ -29,15 +29,15 @@
 #[derive(Clone, Debug)]
 pub struct SyncSession {
     state: State,
-    /// Branches that differ, and of which the leaves are still to be requested.
+    /// Differing branches whose leaves are still to be requested.
     branches: VecDeque<u8>,
-    /// Leaves that differ, and of which the facts are still to be requested.
+    /// Differing leaves whose facts are still to be requested.
     leaves: VecDeque<u16>,
     /// Parts of facts that are still to be pushed.
     to_push: VecDeque<Fact>,
     /// Bytes of facts that may still be transferred, in both directions together.
     budget_bytes: usize,
-    /// Whether the budget ended before all differences were looked at.
+    /// Whether the budget was used up before all differences were reconciled.
     is_truncated: bool,
 }
 
@@ -71,7 +71,8 @@
     ///
     /// # Errors
     ///
-    /// [`UnexpectedMessage`] if it is no response to the last request; the session is of no further use then.
+    /// [`UnexpectedMessage`] if it is not a valid response to the last request; the session must be dropped
+    /// then.
     pub fn on_response(
         &mut self,
         store: &StateStore,
@@ -125,7 +126,8 @@
         Ok(())
     }
 
-    /// Counts the facts that arrived. Returns the request for the rest of them, as far as the budget permits.
+    /// Records the received facts and subtracts them from the budget. Returns the request for the remaining
+    /// facts of the leaves, if there are any and budget is left.
     fn on_facts(
         &mut self,
         facts: &[Fact],
@@ -139,7 +141,7 @@
             self.budget_bytes = self.budget_bytes.saturating_sub(encoded_size(fact));
         }
         let Some((leaf, position)) = resume_at else { return Ok(None) };
-        // A peer that makes no progress must not keep the session going for ever.
+        // A response without progress is rejected: it would keep the session open without end.
         let first = leaves.iter().position(|requested| requested == leaf);
         let first = first.filter(|_| !facts.is_empty()).ok_or(UnexpectedMessage::InvalidPosition)?;
         if self.budget_bytes == 0 {
@@ -150,8 +152,8 @@
         Ok(Some(SyncMessage::RequestFacts { leaves, from: Some(position.clone()) }))
     }
 
-    /// Queues our facts of the requested leaves. The peer's have been joined by now, so those that equal what
-    /// arrived are not sent back.
+    /// Queues this store's facts of the requested leaves for pushing. The peer's facts are joined already:
+    /// facts that equal the received ones are not sent back.
     fn queue_pushes(&mut self, store: &StateStore) {
         let State::AwaitingFacts { leaves, received } = &self.state else { return };
         for leaf in leaves {
--- a/src/replication/derived_state.rs
+++ b/src/replication/derived_state.rs
@@ -1,7 +1,7 @@
-//! What the facts mean for one broker: which servers are disabled, which brokers paused or removed.
+//! The effect of the facts on one broker: which servers are disabled, which brokers paused or removed.
 //!
-//! A peer's facts make a broker more cautious, never bolder: they disable servers and send clients away. Only
-//! an operator's command ends such a condition.
+//! The facts of a peer can only restrict a broker: they disable servers and send clients away. Only an
+//! operator's command ends such a condition.
 
 use super::fact::{FactKey, FactValue, ProcessStart};
 use super::state_store::StateStore;
@@ -16,11 +16,11 @@
     pub disabled_servers: BTreeSet<String>,
     /// Whether operators have paused this broker.
     pub paused: bool,
-    /// The names of brokers that operators have removed for good.
+    /// The names of brokers that operators have removed permanently.
     pub removed_brokers: BTreeSet<String>,
     /// The subjects on which concurrent commands differ in effect.
     pub conflicts: BTreeSet<FactKey>,
-    /// The next expiry of each subject that has one, in order of time.
+    /// The next expiry of each subject that has one, ordered by time.
     expiries: BTreeSet<(Nanos, FactKey)>,
     expiry_by_key: BTreeMap<FactKey, Nanos>,
 }
@@ -45,7 +45,7 @@
         self.expiries.iter().take_while(|(expiry, _)| *expiry <= now).map(|(_, key)| key.clone()).collect()
     }
 
-    /// Derives the state anew for a subject that changed or expired.
+    /// Updates the state for a subject that has changed, or on which a command has expired.
     pub fn update(&mut self, store: &StateStore, key: &FactKey, name: &str, now: Nanos) {
         let register = store.register(key);
         self.set_expiry(key, register.and_then(|register| register.next_expiry(now)));
@@ -78,7 +78,7 @@
     }
 }
 
-/// What discovery reported of a server to any broker of the cluster.
+/// The reports of discovery about a server, to any broker of the cluster.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeHints {
     /// Its latest drain, if any is known.
@@ -87,7 +87,7 @@
     pub started: Nanos,
 }
 
-/// Returns what discovery reported to any broker of the cluster, by the server's id.
+/// Returns the reports of discovery to any broker of the cluster, by the server's id.
 pub fn node_hints(store: &StateStore) -> BTreeMap<String, NodeHints> {
     let mut hints: BTreeMap<String, NodeHints> = BTreeMap::new();
     for (key, value) in store.facts() {
--- a/src/replication/fact.rs
+++ b/src/replication/fact.rs
@@ -1,4 +1,4 @@
-//! Facts that are replicated to all brokers: a subject, and what is known of it.
+//! Facts that are replicated to all brokers: a subject, and what is known about it.
 
 use super::merkle_tree;
 use super::multi_value_register::Register;
@@ -14,7 +14,7 @@
     Server(String),
     /// Whether an operator has paused a broker, by its name.
     Pause(String),
-    /// Whether an operator has removed a broker for good, by its name.
+    /// Whether an operator has removed a broker permanently, by its name.
     Removed(String),
     /// A maintenance order, by its id.
     #[serde(rename = "Work")]
@@ -31,7 +31,7 @@
 }
 
 impl FactKey {
-    /// The least key of all, at which the facts of a leaf begin.
+    /// The least key in the order of keys, at which a scan of a whole leaf begins.
     pub const MIN: FactKey = FactKey::Server(String::new());
 
     /// The name or id of the subject; none for collected dots.
@@ -69,18 +69,18 @@
     }
 }
 
-/// Which process of a server a report of discovery is about, and how recent the report is. Reports are
-/// ordered by the start of the process, those of one process by the version of the list.
+/// The process of a server that a report of discovery refers to, and how recent the report is. Reports are
+/// ordered by the start of the process, then by the version of the list.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessStart {
     /// When the process started, in Unix nanoseconds; 0 if that is unknown.
     pub started: Nanos,
-    /// The version of discovery's list that reported it; 0 for starts, of which the time suffices.
+    /// The version of discovery's list that reported it; 0 for starts, which are ordered by time alone.
     #[serde(rename = "version")]
     pub list_version: u64,
 }
 
-/// What is known of a subject.
+/// What is known about a subject.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, Hash)]
 pub enum FactValue {
     /// Commands of operators: a multi-value register.
@@ -88,12 +88,12 @@
     Commands(Register),
     /// The latest report of discovery: a last-writer-wins register.
     Latest(ProcessStart),
-    /// Sequence numbers that garbage collection removed: a set that only grows.
+    /// Sequence numbers that garbage collection removed: a grow-only set.
     #[serde(rename = "Spent")]
     Collected(Ranges),
 }
 
-/// A subject with what is known of it.
+/// A subject with what is known about it.
 pub type Fact = (FactKey, FactValue);
 
 /// Returns the hash of a fact.
--- a/src/replication/merkle_tree.rs
+++ b/src/replication/merkle_tree.rs
@@ -1,10 +1,10 @@
-//! Digests of a store, by which two stores that differ find the differing facts after few comparisons.
+//! A hash tree over the facts of a store, which locates the differences of two stores with few comparisons.
 //!
 //! Every fact belongs to a leaf, chosen by the hash of its key. The digest of a leaf is the exclusive or of
-//! the hashes of its facts, that of a branch combines its leaves, that of the root combines all. One change
-//! therefore updates three digests, whatever the size of the store. The hash is not cryptographic: peers
-//! belong to the operator, so nobody makes collisions on purpose; two different stores have equal roots by
-//! chance with probability 2^-64.
+//! the hashes of its facts; the digest of a branch combines its leaves, that of the root combines all
+//! branches. One change therefore updates three digests, regardless of the size of the store. The hash is
+//! not cryptographic, since all peers are run by the operator and deliberate collisions are not expected; two
+//! different stores have equal roots by chance with probability 2^-64.
 
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -13,13 +13,14 @@
 pub const FANOUT: usize = 64;
 /// The number of leaves of the tree.
 pub const LEAF_COUNT: usize = FANOUT * FANOUT;
-/// The leaf is given by the highest bits of a key's hash: log2 of [`LEAF_COUNT`] of 64 bits.
+/// Right shift of a key's hash that gives the index of the leaf: of 64 bits, the highest log2 of
+/// [`LEAF_COUNT`] remain.
 const LEAF_SHIFT: u32 = u64::BITS - LEAF_COUNT.trailing_zeros();
 
 /// The digests of a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MerkleTree {
-    /// Digests that are not zero, by the index of the leaf.
+    /// The digests that are not zero, by the index of the leaf.
     leaves: BTreeMap<u16, u64>,
     branches: [u64; FANOUT],
     root: u64,
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,17 +1,17 @@
-//! State that is replicated to all brokers of a cluster: operators' commands, and what discovery reported of
-//! drains and starts. Free of I/O and clock.
+//! State that is replicated to all brokers of a cluster: operators' commands, and the drains and starts of
+//! servers that discovery reported. Performs no I/O and reads no clock.
 //!
-//! Every broker has a copy of all of it, a state-based CRDT. `docs/replication.md` describes the design and
+//! Every broker has a full copy, which is a state-based CRDT. `docs/replication.md` describes the design and
 //! its proofs.
 //!
 //! - [`version_vector`]: dots, which identify commands without clocks, and sets of them;
-//! - [`multi_value_register`]: commands on one subject, of which concurrent ones are all retained;
-//! - [`fact`]: the subjects, and what is known of each;
+//! - [`multi_value_register`]: commands on one subject, where concurrent ones are all retained;
+//! - [`fact`]: the subjects, and what is known about each;
 //! - [`state_store`]: a copy of all facts, the join with those of other copies, and garbage collection;
-//! - [`merkle_tree`]: digests, by which two copies find where they differ;
+//! - [`merkle_tree`]: digests that locate the differences of two copies;
 //! - [`anti_entropy`]: the protocol that reconciles two copies in bounded messages;
-//! - [`rumor_queue`]: facts that are new and still sent to random peers;
-//! - [`derived_state`]: what the facts mean for one broker.
+//! - [`rumor_queue`]: new facts that are still to be sent to random peers;
+//! - [`derived_state`]: the effect of the facts on one broker.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/replication/multi_value_register.rs
+++ b/src/replication/multi_value_register.rs
@@ -1,31 +1,31 @@
 //! Operators' commands, and the multi-value register that holds the latest commands on one subject.
 //!
-//! A command supersedes the commands that were known where it was given, and no others. Concurrent commands,
-//! each given without knowledge of the other, are both retained until the next command; they conflict if they
-//! differ in effect.
+//! A command supersedes the commands that are known to the broker that records it, and no others. Concurrent
+//! commands, each recorded without knowledge of the other, are both retained until the next command; they
+//! conflict if they differ in effect.
 
 use super::version_vector::{Dot, VersionVector};
 use crate::api::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Longest name or id, in bytes: of brokers, servers, maintenance orders, sites and authors.
+/// Maximum length of a name or id, in bytes: of brokers, servers, maintenance orders, sites and authors.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Longest reason of a command, in bytes.
+/// Maximum length of a command's reason, in bytes.
 pub const MAX_REASON_BYTES: usize = 256;
-/// Longest text that a command carries as its value, in bytes.
+/// Maximum length of a text that is the value of a command, in bytes.
 pub const MAX_TEXT_BYTES: usize = 4096;
 
-/// What a command says about its subject.
+/// The value that a command sets for its subject.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CommandValue {
-    /// Ends the condition that [`CommandValue::Set`] began.
+    /// Ends the condition that [`CommandValue::Set`] starts.
     #[serde(rename = "Back")]
     Clear,
     /// The server is disabled, or the broker is paused or removed.
     #[serde(rename = "Out")]
     Set,
-    /// A text for whoever reads the register.
+    /// A text, interpreted by the readers of the register.
     Text(String),
 }
 
@@ -43,22 +43,22 @@
 /// A command of an operator.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorCommand {
-    /// What it says about its subject.
+    /// The value that it sets for its subject.
     pub value: CommandValue,
-    /// Who gave it, by the name that they gave.
+    /// The name that the operator gave.
     #[serde(rename = "who")]
     pub author: String,
-    /// Why it was given.
+    /// The reason that the operator gave.
     #[serde(rename = "why")]
     pub reason: String,
     /// The broker that accepted it.
     #[serde(rename = "at_broker")]
     pub broker: String,
     /// When that broker accepted it, in Unix nanoseconds by its clock. Shown to operators and used for
-    /// retention; it never decides between commands.
+    /// retention, but not to order commands.
     #[serde(rename = "at")]
     pub issued_at: Nanos,
-    /// When it ceases to be in effect, in Unix nanoseconds; without it, at the next command.
+    /// When it ceases to be in effect, in Unix nanoseconds; if none, with the next command.
     #[serde(rename = "until")]
     pub expires_at: Option<Nanos>,
 }
@@ -69,7 +69,7 @@
         self.value == CommandValue::Set && self.expires_at.is_none_or(|expiry| now < expiry)
     }
 
-    /// Whether it has had no effect for longer than `retention`. A command that only another one can end
+    /// Whether it has had no effect for longer than `retention`. A command that only another command can end
     /// never expires.
     fn is_expired(&self, now: Nanos, retention: Nanos) -> bool {
         let ended_at = match (&self.value, self.expires_at) {
@@ -95,13 +95,13 @@
 pub struct Register {
     #[serde(rename = "said", with = "as_pairs")]
     commands: BTreeMap<Dot, OperatorCommand>,
-    /// The dots of all commands that the register ever had, superseded ones included and collected ones
-    /// excluded.
+    /// The dots of all commands that the register ever held, including superseded ones and excluding
+    /// collected ones.
     #[serde(rename = "seen")]
     causal_context: VersionVector,
 }
 
-/// Serializes a map as a list of pairs, since JSON takes only texts as keys.
+/// Serializes a map as a list of pairs, since keys in JSON must be strings.
 mod as_pairs {
     use super::{BTreeMap, Dot, OperatorCommand};
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -116,7 +116,7 @@
 }
 
 impl Register {
-    /// Whether commands could have produced this register: each is in the causal context and within the
+    /// Whether recorded commands can produce this register: each is in the causal context and within the
     /// limits.
     pub fn is_valid(&self) -> bool {
         self.commands.iter().all(|(dot, command)| {
@@ -135,7 +135,7 @@
         self.commands.iter().map(|(dot, command)| (*dot, command))
     }
 
-    /// The dots of all commands that the register ever had and that are not collected.
+    /// The dots of all commands that the register ever held and that are not collected.
     pub fn causal_context(&self) -> &VersionVector {
         &self.causal_context
     }
@@ -151,7 +151,8 @@
         }
         for (dot, command) in &other.commands {
             if !self.has_superseded(dot) && !collected.contains(*dot) {
-                // No dot has two commands. Should it happen all the same, all copies choose the same one.
+                // A dot identifies one command. If two commands share a dot nevertheless, all copies keep the
+                // greater one.
                 let own = joined.entry(*dot).or_insert_with(|| command.clone());
                 if command > own {
                     *own = command.clone();
@@ -167,13 +168,13 @@
         self.causal_context.contains(*dot) && !self.commands.contains_key(dot)
     }
 
-    /// Removes the dots that garbage collection removed.
+    /// Removes the commands and the dots that garbage collection removed.
     pub fn remove_collected(&mut self, collected: &VersionVector) {
         self.commands.retain(|dot, _| !collected.contains(*dot));
         self.causal_context.subtract(collected);
     }
 
-    /// Whether the condition is set at this time; of concurrent commands, one that sets it suffices.
+    /// Whether the condition is set at this time; one of several concurrent commands suffices to set it.
     pub fn is_set(&self, now: Nanos) -> bool {
         self.commands.values().any(|command| command.is_in_effect(now))
     }
@@ -216,8 +217,8 @@
             causal_context: commands.iter().map(|(dot, _)| *dot).collect(),
         };
         let mut parts: Vec<Register> = commands.chunks(max_commands.max(1)).map(part).collect();
-        // The superseded dots travel in a part without the retained ones: no part may end a command of
-        // another part.
+        // The superseded dots form a part of their own, without the retained ones: joining one part must not
+        // supersede a command of another.
         let mut superseded = self.causal_context.clone();
         superseded.subtract(&self.commands.keys().copied().collect());
         parts.push(Register { commands: BTreeMap::new(), causal_context: superseded });
--- a/src/replication/rumor_queue.rs
+++ b/src/replication/rumor_queue.rs
@@ -1,16 +1,16 @@
-//! Rumor mongering: a fact that is new to a broker is sent a few times, to peers drawn at random.
+//! Rumor mongering: a broker sends a fact that is new to it a few times, to randomly chosen peers.
 //!
-//! A broker sends such a fact for a number of rounds that grows with the logarithm of the cluster's size. A
-//! peer that was missed, or was away, receives the fact by anti-entropy.
+//! The number of rounds for which a fact is sent grows with the logarithm of the cluster's size. A peer that
+//! was not chosen, or was unreachable, receives the fact by anti-entropy.
 
 use super::anti_entropy;
 use super::fact::{Fact, FactKey};
 use super::state_store::StateStore;
 use std::collections::BTreeMap;
 
-/// Rounds in addition to the logarithm of the cluster's size.
+/// Rounds in addition to the binary logarithm of the cluster's size.
 const EXTRA_ROUNDS: u32 = 2;
-/// Most facts that are queued; those beyond are left to anti-entropy.
+/// Maximum number of queued facts; any others are left to anti-entropy.
 const MAX_QUEUED_FACTS: usize = 4096;
 
 /// The facts that are still to be sent, each with the number of rounds that remain for it.
@@ -20,8 +20,8 @@
 }
 
 impl RumorQueue {
-    /// Queues a fact that is new here, in a cluster of so many brokers. One that is queued already starts
-    /// anew.
+    /// Queues a fact that is new here, in a cluster of `brokers` members. A fact that is queued already gets
+    /// its full number of rounds again.
     pub fn push(&mut self, key: FactKey, brokers: usize) {
         if self.remaining_rounds.len() < MAX_QUEUED_FACTS || self.remaining_rounds.contains_key(&key) {
             self.remaining_rounds.insert(key, dissemination_rounds(brokers));
@@ -33,9 +33,9 @@
         self.remaining_rounds.is_empty()
     }
 
-    /// Takes the facts of the next datagram, at most `max_bytes` of them, those with most rounds remaining
-    /// first. Each of them has one round less afterwards. Facts that are not in the store any more, or that
-    /// alone exceed `max_bytes`, are removed from the queue: anti-entropy transfers the latter.
+    /// Takes the facts for the next datagram, at most `max_bytes` in total, those with the most remaining
+    /// rounds first. Each of them has one round less afterwards. Facts that are no longer in the store, or
+    /// that alone exceed `max_bytes`, are removed from the queue: anti-entropy transfers the latter.
     pub fn take(&mut self, store: &StateStore, max_bytes: usize) -> Vec<Fact> {
         let mut facts = Vec::new();
         let mut bytes = 0;
@@ -67,7 +67,7 @@
     }
 }
 
-/// Returns the number of rounds for which a fact is sent in a cluster of so many brokers.
+/// Returns the number of rounds for which a fact is sent in a cluster of `brokers` members.
 pub fn dissemination_rounds(brokers: usize) -> u32 {
     (brokers.max(1) as u64 + 1).next_power_of_two().trailing_zeros() + EXTRA_ROUNDS
 }
--- a/src/replication/state_store.rs
+++ b/src/replication/state_store.rs
@@ -10,7 +10,7 @@
 /// Why a fact or a command is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum JoinError {
-    /// This program could not have made it: its value does not fit its key, or a text in it is too long.
+    /// No broker produces it: its value does not fit its key, or a name or text has an invalid length.
     #[error("it is no sound fact")]
     Invalid,
     /// It reports a start that is too far ahead of this broker's clock.
@@ -25,23 +25,23 @@
     DuplicateOrigin,
 }
 
-/// Most registers that one run of garbage collection removes.
+/// Maximum number of registers that one run of garbage collection removes.
 const MAX_REGISTERS_PER_COLLECTION: usize = 1024;
 
-/// How many facts a store holds, and for how long.
+/// Limits on the facts of a store: their number, their retention and the clock skew of reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Most registers that commands at this broker may create. Those of peers are taken up to twice this
-    /// number, since what another broker has acknowledged must not be lost.
+    /// Maximum number of registers that commands at this broker may create. Registers of peers are accepted
+    /// up to twice this number, since commands that another broker has acknowledged must not be lost.
     pub max_registers: usize,
-    /// Most servers of which the latest drain is stored, and of which the latest start is stored; the
-    /// earliest are evicted.
+    /// Maximum number of servers whose latest drain is stored, and of servers whose latest start is stored;
+    /// the earliest reports are evicted.
     pub max_servers: usize,
-    /// How long an expired register is retained until only its dots remain, in nanoseconds.
+    /// How long an expired register is retained before only its dots are kept, in nanoseconds.
     pub retention: Nanos,
     /// How far ahead of this broker's clock a reported start may be, in nanoseconds.
     pub max_clock_lead: Nanos,
-    /// Most origins of which collected dots are stored; beyond it nothing is collected here.
+    /// Maximum number of origins whose collected dots are stored; beyond it this broker collects no garbage.
     pub max_origins: usize,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// The ids of servers, ordered by their reports, to find the earliest.
+/// The ids of servers, ordered by their reports, to find the earliest report.
 #[derive(Clone, Debug, Default)]
 struct ReportIndex(BTreeSet<(ProcessStart, String)>);
 
@@ -79,7 +79,7 @@
 }
 
 /// A copy of the replicated facts. Joining is commutative, associative and idempotent: copies that have
-/// received the same facts are equal, in whatever order and however often these arrived.
+/// received the same facts are equal, regardless of the order and number of times in which they arrived.
 #[derive(Clone, Debug)]
 pub struct StateStore {
     limits: StoreLimits,
@@ -99,7 +99,7 @@
 }
 
 impl StateStore {
-    /// An empty store whose commands are recorded under this origin.
+    /// Creates an empty store whose commands are recorded under this origin.
     pub fn new(origin: Origin, limits: StoreLimits) -> StateStore {
         StateStore {
             limits,
@@ -154,12 +154,12 @@
         self.facts.len()
     }
 
-    /// Whether the store has no fact.
+    /// Whether the store has no facts.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// What is known of a subject.
+    /// What is known about a subject.
     pub fn get(&self, key: &FactKey) -> Option<&FactValue> {
         self.facts.get(&(key.leaf(), key.clone()))
     }
@@ -185,7 +185,7 @@
         })
     }
 
-    /// The facts of a leaf in the order of their keys, from this key on or all of them.
+    /// The facts of a leaf, ordered by key: all of them, or those from the key `from` on.
     pub fn facts_of_leaf(
         &self,
         leaf: u16,
@@ -196,7 +196,7 @@
         facts.map(|((_, key), value)| (key, value))
     }
 
-    /// All facts in their encoded form, which is the same for stores that are equal.
+    /// Encodes all facts. Equal stores have equal encodings.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(&self.facts().collect::<Vec<_>>()).unwrap_or_default()
     }
@@ -217,7 +217,7 @@
         self.changed_keys.insert(key.clone());
     }
 
-    /// Sets a register, or removes the fact if nothing is left of it.
+    /// Sets a register, or removes the fact if the register is empty.
     fn put_register(&mut self, key: &FactKey, register: Register) {
         let value = (!register.is_empty()).then_some(FactValue::Commands(register));
         self.put(key, value);
@@ -241,7 +241,8 @@
         }
     }
 
-    /// The fact with the earliest report of the kind of this key, if there are more than the limits permit.
+    /// The key of the earliest report of the same kind as `key`, if there are more reports than the limits
+    /// permit.
     fn excess_report(&self, key: &FactKey) -> Option<FactKey> {
         let max_servers = self.limits.max_servers;
         match key {
@@ -251,16 +252,19 @@
         }
     }
 
-    /// Records an operator's command. It supersedes all commands on the subject that are known here.
+    /// Records an operator's command, which supersedes all commands on the subject in this store.
     ///
     /// # Errors
     ///
-    /// [`JoinError::Invalid`] if the key takes no commands or a text is too long,
+    /// [`JoinError::Invalid`] if the key takes no commands, or a name or text has an invalid length,
     /// [`JoinError::DuplicateOrigin`] if another process uses this origin, [`JoinError::AtCapacity`] if a new
     /// register would exceed the limits. The store is unchanged then.
     pub fn record(&mut self, key: &FactKey, command: OperatorCommand) -> Result<Dot, JoinError> {
-        let has_name = key.name().is_some_and(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
-        if !has_name || !command.is_within_limits() || matches!(key, FactKey::Drain(_) | FactKey::Start(_)) {
+        let has_valid_name = key.name().is_some_and(|name| !name.is_empty() && name.len() <= MAX_NAME_BYTES);
+        if !has_valid_name
+            || !command.is_within_limits()
+            || matches!(key, FactKey::Drain(_) | FactKey::Start(_))
+        {
             return Err(JoinError::Invalid);
         }
         if self.duplicate_origin {
@@ -278,11 +282,11 @@
         Ok(dot)
     }
 
-    /// Joins a fact of another copy. Returns whether it changed the store.
+    /// Joins a fact of another copy. Returns whether the store has changed.
     ///
     /// # Errors
     ///
-    /// [`JoinError::Invalid`] if the value does not fit the key or a text is too long,
+    /// [`JoinError::Invalid`] if the value does not fit the key, or a name or text has an invalid length,
     /// [`JoinError::FromTheFuture`] if a reported start is too far ahead of `now`, [`JoinError::AtCapacity`]
     /// if the limits are exceeded.
     pub fn join(&mut self, key: &FactKey, value: &FactValue, now: Nanos) -> Result<bool, JoinError> {
@@ -306,8 +310,8 @@
         if !theirs.is_valid() {
             return Err(JoinError::Invalid);
         }
-        // A process whose memory was copied has the same origin: its dots must not be used for other commands
-        // here.
+        // A copy of this process's memory has the same origin and records commands of its own: no dot that it
+        // has used may be used for another command here.
         let own_dots = theirs.causal_context().ranges_of(self.origin);
         if own_dots.and_then(Ranges::last).is_some_and(|last| last > self.last_sequence) {
             self.duplicate_origin = true;
@@ -326,7 +330,8 @@
     }
 
     fn join_latest(&mut self, key: &FactKey, theirs: ProcessStart, now: Nanos) -> Result<bool, JoinError> {
-        // A peer whose clock runs ahead must not hide later reports until that time has come.
+        // A start far in the future, from a peer whose clock is ahead, would supersede all correct reports
+        // until that time.
         if theirs.started > now.saturating_add(self.limits.max_clock_lead) {
             return Err(JoinError::FromTheFuture);
         }
@@ -336,7 +341,8 @@
             return Ok(false);
         }
         self.put(key, Some(FactValue::Latest(theirs)));
-        // Evicting the earliest keeps the join independent of order: the latest of a union remain.
+        // Evicting the earliest report keeps the join independent of order: the latest reports of the union
+        // remain.
         if let Some(earliest) = self.excess_report(key) {
             self.put(&earliest, None);
             return Ok(earliest != *key);
@@ -365,8 +371,8 @@
         Ok(true)
     }
 
-    /// Removes a bounded number of expired registers. Only their dots remain, so that no copy that was away
-    /// can bring them back. Returns the keys that changed.
+    /// Removes a bounded number of expired registers. Their dots are kept, so that joining a copy that was
+    /// disconnected does not restore them. Returns the keys that changed.
     pub fn collect_garbage(&mut self, now: Nanos) -> Vec<FactKey> {
         let is_expired = |register: &Register| register.is_expired(now, self.limits.retention);
         let mut changed = Vec::new();
--- a/src/replication/version_vector.rs
+++ b/src/replication/version_vector.rs
@@ -1,14 +1,14 @@
-//! Version vectors: sets of dots, that is of operations by origin and sequence number.
+//! Version vectors: sets of dots. A dot identifies an operation by its origin and sequence number.
 //!
-//! Causality is tracked by dots alone; clocks take no part in it. An origin is one process of a broker, drawn
-//! at random at each start. A disk that was restored, a copied directory or two processes under one name
-//! therefore can't use a dot twice.
+//! Causality is tracked by dots alone, without clocks. An origin stands for one process of a broker; its
+//! number is drawn at random at each start. A restored disk, a copied directory or two processes with the
+//! same name therefore don't lead to the reuse of a dot.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One process of a broker. The number is drawn at random when it starts, and never used again.
+/// One process of a broker. The number is drawn at random when the process starts, and is not reused.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[serde(transparent)]
 pub struct Origin(pub u64);
@@ -40,9 +40,9 @@
 #[serde(try_from = "Vec<(u64, u64)>", into = "Vec<(u64, u64)>")]
 pub struct Ranges(Vec<(u64, u64)>);
 
-/// Ranges that are empty, start at 0, are out of order, or touch each other.
+/// Ranges that are empty, contain 0 or `u64::MAX`, are out of order, or touch each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("ranges that are out of order")]
+#[error("ranges must be non-empty, within 1 to 2^64 - 2, ascending, and must not touch")]
 pub struct InvalidRanges;
 
 impl From<Ranges> for Vec<(u64, u64)> {
@@ -54,7 +54,7 @@
 impl TryFrom<Vec<(u64, u64)>> for Ranges {
     type Error = InvalidRanges;
 
-    /// Validates what a peer or a disk supplies: all look-ups rely on the order of the ranges.
+    /// Validates ranges that were received from a peer or read from disk: all look-ups rely on their order.
     fn try_from(ranges: Vec<(u64, u64)>) -> Result<Self, Self::Error> {
         let is_range = |(start, end): &(u64, u64)| 0 < *start && start <= end && *end < u64::MAX;
         let is_gap = |pair: &[(u64, u64)]| pair[0].1 + 1 < pair[1].0;
@@ -131,7 +131,7 @@
         self.0.chunks(max_ranges.max(1)).map(|ranges| Ranges(ranges.to_vec())).collect()
     }
 
-    /// Whether the set has no number.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -190,7 +190,7 @@
         self.0.len()
     }
 
-    /// Whether the set has no dot.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
