--- a/src/maintenance/consensus.rs
+++ b/src/maintenance/consensus.rs
@@ -1,9 +1,10 @@
-//! A single value on which a small group of brokers agrees by majority (CASPaxos). Free of I/O and clock.
+//! A single value on which a small group of brokers agrees by majority (CASPaxos). Performs no I/O and reads
+//! no clock.
 //!
 //! A proposer reads the last value from a majority of the group under a ballot of its own, derives the next
-//! value from it, and has a majority accept that. There is no leader, no log and no lease, so there is
-//! nothing that a paused process could wrongly believe it still has. What an acceptor promised or accepted is
-//! on its disk before it responds.
+//! value from it, and has a majority accept that. There is no leader, no log and no lease, so a process that
+//! resumes after a pause can't act on a role or lease that it has lost. An acceptor writes its promises and
+//! accepted values to disk before it responds.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,21 +12,21 @@
 /// Orders the attempts of all proposers. The proposer's number makes each ballot unique.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
-    /// A number greater than any round that the proposer knows of.
+    /// A number greater than any round that is known to the proposer.
     pub round: u64,
-    /// The proposer: one process, whose number is drawn anew at its start.
+    /// The number of the proposer, which is one process; a new number is drawn at each start.
     pub proposer: u64,
 }
 
 /// A request of a proposer to an acceptor.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Request<V> {
-    /// To promise to accept nothing of a lower ballot, and to return the value that was accepted last.
+    /// Requests the promise to accept no lower ballot, and the value that was accepted last.
     Prepare {
         /// The ballot of the attempt.
         ballot: Ballot,
     },
-    /// To accept a value.
+    /// Requests that a value be accepted.
     Accept {
         /// The ballot of the attempt.
         ballot: Ballot,
@@ -37,19 +38,19 @@
 /// The response of an acceptor.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Response<V> {
-    /// It promised to accept nothing of a lower ballot.
+    /// The acceptor promised to accept no lower ballot.
     Promised {
         /// The ballot of the request.
         ballot: Ballot,
         /// The value that it accepted last, with its ballot.
         accepted: Option<(Ballot, V)>,
     },
-    /// It accepted the value.
+    /// The acceptor accepted the value.
     Accepted {
         /// The ballot of the request.
         ballot: Ballot,
     },
-    /// It rejected the request, since it promised a higher ballot.
+    /// The acceptor rejected the request, since it has promised a higher ballot.
     #[serde(rename = "Refused")]
     Rejected {
         /// The ballot of the request.
@@ -59,7 +60,7 @@
     },
 }
 
-/// An acceptor, a member of the group that votes. All of it must be on disk before a response is sent.
+/// An acceptor: a voting member of the group. Its whole state must be on disk before a response is sent.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor<V> {
     promised: Ballot,
@@ -73,15 +74,15 @@
 }
 
 impl<V: Clone> Acceptor<V> {
-    /// Handles a request. The caller writes the acceptor to disk before it sends the response; if that fails,
-    /// it sends none.
+    /// Handles a request. The caller writes the acceptor to disk before it sends the response; if the write
+    /// fails, it sends none.
     pub fn on_request(&mut self, request: &Request<V>) -> Response<V> {
         match request {
             Request::Prepare { ballot } if *ballot > self.promised => {
                 self.promised = *ballot;
                 Response::Promised { ballot: *ballot, accepted: self.accepted.clone() }
             }
-            // Equal ballots are accepted: the promise was made to this very attempt.
+            // An equal ballot is accepted: the promise was made to the same attempt.
             Request::Accept { ballot, value } if *ballot >= self.promised => {
                 self.promised = *ballot;
                 self.accepted = Some((*ballot, value.clone()));
@@ -127,7 +128,7 @@
 }
 
 impl<V: Clone + Ord> Proposer<V> {
-    /// Begins an attempt in a group of so many acceptors. Returns it with the request to all of them.
+    /// Begins an attempt in a group of `group_size` acceptors. Returns it with the request to all of them.
     pub fn begin(ballot: Ballot, group_size: usize) -> (Proposer<V>, Request<V>) {
         let proposer = Proposer {
             ballot,
@@ -153,8 +154,8 @@
         2 * acceptors > self.group_size
     }
 
-    /// Handles the response of an acceptor, by its number in the group. Responses may be duplicated or late,
-    /// or belong to an earlier attempt; such have no effect.
+    /// Handles the response of an acceptor, given by its number in the group. Responses that are duplicated,
+    /// late, or belong to another attempt have no effect.
     pub fn on_response(&mut self, acceptor: u64, response: &Response<V>) {
         let (Response::Promised { ballot, .. }
         | Response::Accepted { ballot }
@@ -184,8 +185,8 @@
     }
 
     /// Proposes the next value, derived from the one that was read. Returns the request to all acceptors, or
-    /// none unless the state is [`ProposerState::Prepared`]. To confirm what was read, propose it unchanged:
-    /// a value that one acceptor has may not be chosen yet.
+    /// none unless the state is [`ProposerState::Prepared`]. To confirm the value that was read, propose it
+    /// unchanged: a value that an acceptor has accepted is not necessarily chosen.
     #[must_use]
     pub fn propose(&mut self, value: V) -> Option<Request<V>> {
         if !matches!(self.state, ProposerState::Prepared(_)) {
--- a/src/maintenance/mod.rs
+++ b/src/maintenance/mod.rs
@@ -1,7 +1,8 @@
-//! Maintenance of machines, permitted in an order on which the brokers agree. Free of I/O and clock.
+//! Permits for the maintenance of machines, on which the brokers agree by consensus. Performs no I/O and
+//! reads no clock.
 //!
 //! - [`consensus`]: a single value on which a small group of brokers agrees by majority;
-//! - [`permits`]: that value, the table of machines under maintenance, and the rules for changes of it.
+//! - [`permits`]: that value, the table of permits, and the rules for changing it.
 //!
 //! `docs/maintenance.md` describes the design.
 #![deny(
--- a/src/maintenance/permits.rs
+++ b/src/maintenance/permits.rs
@@ -1,8 +1,9 @@
-//! Permits to take machines out of service: one table, through which all changes go.
+//! Permits to take machines out of service, held in one table.
 //!
-//! The table is the value on which the brokers agree. Every rule is checked on the table itself, so that two
-//! brokers which ask at the same time can't break it together. A permit never expires: a machine whose broker
-//! is silent keeps its permit until the machine has warmed up, or an operator writes it off by name.
+//! The table is the value on which the brokers agree. Every rule is checked against the table itself, so that
+//! concurrent requests of two brokers can't violate it together. A permit never expires: if the broker that
+//! carries out the maintenance stops responding, the permit remains until the machine has warmed up, or until
+//! an operator names the machine and releases its permit by force.
 
 use crate::api::Nanos;
 use serde::{Deserialize, Serialize};
@@ -20,13 +21,13 @@
     /// Maintenance has begun.
     #[serde(rename = "Out")]
     UnderMaintenance,
-    /// The machine's process runs again, and is cold.
+    /// The machine's process runs again, and is still cold.
     #[serde(rename = "Back")]
     WarmingUp,
 }
 
 impl MaintenancePhase {
-    /// The phase that follows. The last one is followed by the release of the permit.
+    /// The next phase; none after the last one, which ends with the release of the permit.
     fn next(self) -> Option<MaintenancePhase> {
         match self {
             MaintenancePhase::Draining => Some(MaintenancePhase::Drained),
@@ -51,8 +52,8 @@
 /// A permit for the maintenance of one machine.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Permit {
-    /// A number greater than that of any earlier permit. Whoever acts on the machine presents it; a stale one
-    /// is rejected.
+    /// A number greater than that of any earlier permit. Every action on the machine presents it; a stale
+    /// token is rejected.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
     /// The id of the maintenance order to which it belongs.
@@ -66,11 +67,12 @@
     pub since: Nanos,
 }
 
-/// A ring of cells. The partition of a number is held by the cells from that number on. Serialized as a pair.
+/// A ring of cells. Partition `n` is held by consecutive cells, beginning with cell `n`. Serialized as a
+/// pair.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct CellRing {
-    /// The number of cells, and of partitions. 0 is taken as 1.
+    /// The number of cells, and of partitions. 0 is treated as 1.
     pub cells: u32,
     /// The number of consecutive cells that hold a partition.
     pub cells_per_partition: u32,
@@ -95,7 +97,8 @@
         (cell % cells + cells - partition % cells) % cells < self.cells_per_partition
     }
 
-    /// The partitions that machines of the cell hold: those that begin less than a span before it.
+    /// The partitions that machines of the cell hold: those that begin at the cell, or fewer than
+    /// `cells_per_partition` cells before it.
     fn partitions_of(self, cell: u32) -> impl Iterator<Item = u32> {
         let cells = self.cells.max(1);
         (0..self.cells_per_partition.min(cells))
@@ -106,15 +109,14 @@
 /// The rules for granting a permit.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PermitRules {
-    /// Most permits at a time.
+    /// Maximum number of permits at a time.
     #[serde(rename = "most")]
     pub max_permits: usize,
-    /// The cell of each machine, by the machine's id. Machines of neighbouring cells hold the same
-    /// partitions.
+    /// The cell of each machine, by the machine's id. Machines of neighbouring cells share partitions.
     pub cells: BTreeMap<String, u32>,
-    /// How cells hold partitions.
+    /// The assignment of partitions to cells.
     pub ring: CellRing,
-    /// Least machines of any partition that must have no permit.
+    /// Minimum number of machines that must hold each partition without having a permit.
     #[serde(rename = "holders")]
     pub min_holders: usize,
 }
@@ -127,15 +129,15 @@
     }
 }
 
-/// Why the table is not changed.
+/// Why a change of the table is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PermitError {
-    /// As many machines have permits as may.
+    /// The maximum number of permits is reached.
     #[error("{active} machines are out, and {limit} may be")]
     LimitReached {
-        /// Permits now.
+        /// The current number of permits.
         active: usize,
-        /// Most permits at a time.
+        /// The maximum number of permits.
         limit: usize,
     },
     /// A partition would have too few machines without a permit.
@@ -143,16 +145,16 @@
     TooFewHolders {
         /// The partition.
         partition: u32,
-        /// Its machines that would remain.
+        /// The number of its machines that would remain without a permit.
         remaining: usize,
     },
-    /// The machine has a permit with this fencing token.
+    /// The machine already has a permit, with this fencing token.
     #[error("it is out already, by permit {0}")]
     AlreadyGranted(u64),
     /// The rules do not name the machine.
     #[error("no list names it")]
     UnknownMachine,
-    /// The permit was released, or a newer one has replaced it.
+    /// The permit was released, or the machine has a newer one.
     #[error(
         "permit {given} does not stand any more{}",
         .current.map_or(String::new(), |token| format!(", {token} does"))
@@ -160,7 +162,7 @@
     StaleFencingToken {
         /// The fencing token that was presented.
         given: u64,
-        /// That of the machine's permit, if it has one.
+        /// The fencing token of the machine's current permit, if it has one.
         current: Option<u64>,
     },
     /// The phase does not follow the current one.
@@ -184,18 +186,18 @@
     pub broker: &'a str,
 }
 
-/// The table of all permits. Changes return a new table and leave the old one as it is.
+/// The table of all permits. Changes return a new table and leave the old one unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Permits {
     #[serde(rename = "fence")]
     last_fencing_token: u64,
-    /// The permits by the machine's id.
+    /// The current permits, by the machine's id.
     #[serde(rename = "stand")]
     active: BTreeMap<String, Permit>,
 }
 
 impl Permits {
-    /// All permits, with the machines' ids.
+    /// All current permits, with the machines' ids.
     pub fn active(&self) -> impl Iterator<Item = (&str, &Permit)> {
         self.active.iter().map(|(machine, permit)| (machine.as_str(), permit))
     }
@@ -294,7 +296,7 @@
         Ok(self.without(machine))
     }
 
-    /// Releases the permit of a machine that will not return, in whatever phase, as an operator decided. The
+    /// Releases the permit of a machine that will not return, in any phase, on an operator's decision. The
     /// machine stays disabled by that operator's command.
     ///
     /// # Errors
