--- a/src/replication/state_store.rs
+++ b/src/replication/state_store.rs
@@ -11,17 +11,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, thiserror::Error)]
 pub enum JoinError {
     /// No broker produces it: its value does not fit its key, or a name or text has an invalid length.
-    #[error("it is no sound fact")]
+    #[error("the fact is invalid: its value does not fit its key, or a name or text has an invalid length")]
     Invalid,
     /// It reports a start that is too far ahead of this broker's clock.
-    #[error("it speaks of a start that is still to come")]
+    #[error("the reported start is too far ahead of this broker's clock")]
     FromTheFuture,
     /// The store has as many facts as its limits permit.
-    #[error("there are as many facts as may be")]
+    #[error("the limit on the number of facts is reached")]
     AtCapacity,
     /// Another process uses the origin of this store; [`StateStore::set_origin`] must give it a new one
     /// first.
-    #[error("another process uses these stamps")]
+    #[error("another process uses this broker's origin")]
     DuplicateOrigin,
 }
 
