--- a/tests/version_vector.rs
+++ b/tests/version_vector.rs
@@ -1,10 +1,11 @@
-//! Sets of sequence numbers, kept as ranges.
+//! Sets of sequence numbers, stored as ranges.
 
 use pebbleturn::replication::Ranges;
 use quickcheck::quickcheck;
 use std::collections::BTreeSet;
 
-/// Builds the ranges and the set of the same numbers; each insertion must say whether any number was new.
+/// Builds the ranges and the set of the same numbers; each insertion must report whether any number
+/// was new.
 fn build(pairs: &[(u8, u8)]) -> (Ranges, BTreeSet<u64>) {
     let (mut ranges, mut set) = (Ranges::default(), BTreeSet::new());
     for (start, length) in pairs {
