--- a/src/net/poll_loop/mod.rs
+++ b/src/net/poll_loop/mod.rs
@@ -154,7 +154,7 @@
 
     fn handle(&mut self, event: &mio::event::Event) {
         if event.token() == WAKE_TOKEN {
-            self.pending_events.push_back(NetEvent::Signal(Signal::End));
+            self.pending_events.push_back(NetEvent::Signal(Signal::Shutdown));
             return;
         }
         let slot = event.token().0;
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// A graceful shutdown: SIGTERM and SIGINT.
-    End,
+    Shutdown,
     /// A reload of the configuration: SIGHUP.
     Reload,
 }
@@ -32,11 +32,11 @@
             }
             Ok((signal, UnixStream::from_std(read)))
         };
-        Ok(Signals(vec![pipe(Signal::End, &[SIGTERM, SIGINT])?, pipe(Signal::Reload, &[SIGHUP])?]))
+        Ok(Signals(vec![pipe(Signal::Shutdown, &[SIGTERM, SIGINT])?, pipe(Signal::Reload, &[SIGHUP])?]))
     }
 }
 
-/// Wakes the poll loop from another thread with `Signal::End`. Clones wake the same loop.
+/// Wakes the poll loop from another thread with `Signal::Shutdown`. Clones wake the same loop.
 #[derive(Clone, Debug)]
 pub struct Waker(Arc<mio::Waker>);
 
--- a/src/server/event_loop.rs
+++ b/src/server/event_loop.rs
@@ -58,8 +58,8 @@
     fn on_event(&mut self, event: NetEvent, now: Nanos) {
         let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
         match event {
-            NetEvent::Signal(Signal::End) if self.drain.is_shutting_down() => {}
-            NetEvent::Signal(Signal::End) => {
+            NetEvent::Signal(Signal::Shutdown) if self.drain.is_shutting_down() => {}
+            NetEvent::Signal(Signal::Shutdown) => {
                 let open_queries = self.engine.open_queries();
                 tracing::info!(open_queries, "graceful shutdown begins");
                 self.drain.begin_shutdown(now);
