--- a/src/cluster/sockets.rs
+++ b/src/cluster/sockets.rs
@@ -4,7 +4,7 @@
 use crate::api::Nanos;
 use crate::gossip::Output;
 use crate::gossip::codec::frame_end;
-use crate::net::{ConnId, ConnectionClass, Datagrams, NetEvent, PollLoop, Pool, ReadOutcome};
+use crate::net::{ConnId, ConnectionClass, DatagramSocketId, NetEvent, PollLoop, Pool, ReadOutcome};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 
 /// The bound sockets, and the connections by the node's stream ids.
 pub(super) struct Sockets {
-    datagrams: Datagrams,
+    datagrams: DatagramSocketId,
     pool: Pool,
     streams: BTreeMap<u64, (ConnId, SocketAddr)>,
     stream_ids: BTreeMap<ConnId, u64>,
@@ -35,7 +35,7 @@
         }
         self.next_bind_at = now + BIND_RETRY_INTERVAL;
         // Nobody else comes to this port but a process before this one: both sockets are had, or neither.
-        let datagrams = match net.datagrams(self.listen, OWNER) {
+        let datagrams = match net.bind_datagram_socket(self.listen, OWNER) {
             Ok(datagrams) => datagrams,
             Err(e) if std::mem::replace(&mut self.bind_failure_logged, true) => {
                 return tracing::debug!("cluster: {e}");
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -12,9 +12,9 @@
     pub(super) serial: u32,
 }
 
-/// A socket for datagrams.
+/// The identifier of a datagram socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Datagrams {
+pub struct DatagramSocketId {
     /// Slot in the table of sources.
     pub(super) slot: usize,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -26,6 +26,6 @@
 pub use buffer::{Buf, MAX_BODY, MAX_HEAD, Pool};
 pub use clock::Clock;
 pub use connection::{Offer, QueueFull, ReadOutcome};
-pub use event::{ConnId, ConnectionClass, Datagrams, NetEvent};
+pub use event::{ConnId, ConnectionClass, DatagramSocketId, NetEvent};
 pub use poll_loop::PollLoop;
 pub use signals::{Signal, Signals, Waker};
--- a/src/net/source_table.rs
+++ b/src/net/source_table.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use super::datagram::DatagramSocket;
-use super::event::{ConnId, Datagrams};
+use super::event::{ConnId, DatagramSocketId};
 use super::listener::Listener;
 use super::signals::Signal;
 use mio::net::UnixStream;
@@ -118,7 +118,7 @@
     }
 
     /// The socket for datagrams.
-    pub fn datagrams(&self, id: Datagrams) -> Option<&DatagramSocket> {
+    pub fn datagram_socket(&self, id: DatagramSocketId) -> Option<&DatagramSocket> {
         match self.slots.get(id.slot) {
             Some(Slot { source: Source::Datagrams(socket), .. }) => Some(socket),
             _ => None,
