--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -13,7 +13,7 @@
 use crate::config::OperatorConfig;
 use crate::engine::{QueryId, QueryOutcome};
 use crate::frontends::connection_slots::ConnectionSlots;
-use crate::http::{self, Reader, Side};
+use crate::http::{self, MessageKind, Reader};
 use crate::net::{ConnId, NetEvent, ReadOutcome};
 use crate::server::FrontendContext;
 use std::collections::HashMap;
@@ -108,7 +108,7 @@
     pub fn event(&mut self, event: NetEvent, hands: &mut Hand) {
         match event {
             NetEvent::Accepted { owner, conn, peer } => {
-                let reader = Reader::new(Side::Requests);
+                let reader = Reader::new(MessageKind::Request);
                 let speech = if owner == self.sru {
                     Speech::Sru { reader, keep_alive: true, asked: None }
                 } else {
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -10,7 +10,7 @@
 use super::{cql, rpn};
 use crate::api::Outcome;
 use crate::config::Protocol;
-use crate::http::{Reader, Side};
+use crate::http::{MessageKind, Reader};
 use crate::net::Pool;
 use std::rc::Rc;
 
@@ -99,7 +99,7 @@
     /// A conversation with a node at `host`.
     pub fn new(protocol: Protocol, host: String) -> Talk {
         let speech = match protocol {
-            Protocol::Sru => Speech::Sru { reader: Reader::new(Side::Responses), host },
+            Protocol::Sru => Speech::Sru { reader: Reader::new(MessageKind::Response), host },
             Protocol::Z3950 => Speech::Z3950 { greeted: false },
         };
         Talk { speech, task: None, over: false }
--- a/src/frontends/platform/downstream.rs
+++ b/src/frontends/platform/downstream.rs
@@ -7,7 +7,7 @@
 use crate::config::Names;
 use crate::engine::{QueryId, QueryOutcome, QueryRequest};
 use crate::frontends::connection_slots::ConnectionSlots;
-use crate::http::{self, HttpError, Reader, Side};
+use crate::http::{self, HttpError, MessageKind, Reader};
 use crate::net::{ConnId, MAX_BODY, NetEvent, ReadOutcome};
 use crate::server::FrontendContext;
 use crate::server::drain::DrainPhase;
@@ -94,7 +94,7 @@
     pub fn event(&mut self, event: NetEvent, hands: &mut Platform) {
         match event {
             NetEvent::Accepted { conn, peer, .. } => {
-                let reader = Reader::new(Side::Requests);
+                let reader = Reader::new(MessageKind::Request);
                 self.clients.insert(conn, Client { reader, query: None, id: None, keep_alive: true, peer });
                 self.places.take(conn, hands.now);
                 self.read(conn, hands);
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -6,13 +6,13 @@
 /// Most header lines of a message.
 const MAX_HEADERS: usize = 64;
 
-/// Which side's messages are read.
+/// Kind of the messages that are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// Requests.
-    Requests,
-    /// Responses. They may end with their connection.
-    Responses,
+pub enum MessageKind {
+    /// A request.
+    Request,
+    /// A response, whose body may end with its connection.
+    Response,
 }
 
 /// The head of a request or of a response.
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    fn framing(&self, side: Side, status: u16) -> Result<BodyFraming, HttpError> {
+    fn framing(&self, kind: MessageKind, status: u16) -> Result<BodyFraming, HttpError> {
         let has_no_body = matches!(status, 100..200 | 204 | 304);
         match (self.is_chunked, self.content_length) {
             (true, Some(_)) => Err(HttpError::Malformed("both a length and chunks")),
@@ -101,26 +101,26 @@
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) if length > MAX_BODY => Err(HttpError::TooLarge),
             (false, Some(length)) => Ok(BodyFraming::Length(length)),
-            (false, None) if side == Side::Responses => Ok(BodyFraming::UntilClose),
+            (false, None) if kind == MessageKind::Response => Ok(BodyFraming::UntilClose),
             (false, None) => Ok(BodyFraming::None),
         }
     }
 }
 
 /// Parses the head at the start of `data`; none where it is not whole yet.
-pub(super) fn parse_head(side: Side, data: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+pub(super) fn parse_head(kind: MessageKind, data: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let within = &data[..data.len().min(MAX_HEAD)];
     let mut head = Head::default();
-    let (size, version, headers) = match side {
-        Side::Requests => {
+    let (size, version, headers) = match kind {
+        MessageKind::Request => {
             let mut request = httparse::Request::new(&mut lines);
             let Some(size) = head_size(request.parse(within), data.len())? else { return Ok(None) };
             head.method = request.method.unwrap_or("").to_owned();
             head.target = request.path.unwrap_or("").to_owned();
             (size, request.version, request.headers)
         }
-        Side::Responses => {
+        MessageKind::Response => {
             let mut response = httparse::Response::new(&mut lines);
             let Some(size) = head_size(response.parse(within), data.len())? else { return Ok(None) };
             head.status = response.code.unwrap_or(0);
@@ -132,7 +132,7 @@
     for header in headers.iter() {
         add_header(header, &mut head, &mut framing)?;
     }
-    let framing = framing.framing(side, head.status)?;
+    let framing = framing.framing(kind, head.status)?;
     if framing == BodyFraming::UntilClose {
         head.keep_alive = false;
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -14,6 +14,6 @@
 mod response;
 
 pub use error::HttpError;
-pub use head::{Head, Side};
+pub use head::{Head, MessageKind};
 pub use reader::Reader;
 pub use response::{response, retry_after, service_unavailable};
--- a/src/http/reader.rs
+++ b/src/http/reader.rs
@@ -1,7 +1,7 @@
 //! Reading of messages, piece by piece.
 
 use super::error::HttpError;
-use super::head::{BodyFraming, Head, Side, parse_head};
+use super::head::{BodyFraming, Head, MessageKind, parse_head};
 use crate::net::{Buf, MAX_BODY, MAX_HEAD, Pool};
 
 /// Longest line with the size of a chunk, bytes.
@@ -23,7 +23,7 @@
 /// Reads one message after the other from the bytes of a connection.
 #[derive(Debug)]
 pub struct Reader {
-    side: Side,
+    kind: MessageKind,
     stage: Stage,
     head: Option<Head>,
     body: Option<Buf>,
@@ -34,8 +34,8 @@
 
 impl Reader {
     /// A reader at the start of a message.
-    pub fn new(side: Side) -> Reader {
-        Reader { side, stage: Stage::Head, head: None, body: None, resume_at: 0, trailer_bytes: 0 }
+    pub fn new(kind: MessageKind) -> Reader {
+        Reader { kind, stage: Stage::Head, head: None, body: None, resume_at: 0, trailer_bytes: 0 }
     }
 
     /// The head, once it is read.
@@ -67,7 +67,7 @@
 
     /// Starts the next message.
     pub fn reset(&mut self) {
-        *self = Reader::new(self.side);
+        *self = Reader::new(self.kind);
     }
 
     /// The connection has ended. Returns whether the message is whole, as one without a length is now.
@@ -127,10 +127,10 @@
 
     fn read_head(&mut self, data: &[u8]) -> Result<usize, HttpError> {
         // Empty lines before a request are skipped.
-        if self.side == Side::Requests && data.starts_with(b"\r\n") {
+        if self.kind == MessageKind::Request && data.starts_with(b"\r\n") {
             return Ok(2);
         }
-        let Some(parsed) = parse_head(self.side, data)? else { return Ok(0) };
+        let Some(parsed) = parse_head(self.kind, data)? else { return Ok(0) };
         self.stage = match parsed.framing {
             BodyFraming::None => Stage::Done,
             BodyFraming::Length(length) => Stage::Length(length),
@@ -147,9 +147,9 @@
             return Ok(0);
         }
         if self.body.is_none() {
-            self.body = match self.side {
-                Side::Requests => pool.take_for_untrusted(),
-                Side::Responses => pool.take(),
+            self.body = match self.kind {
+                MessageKind::Request => pool.take_for_untrusted(),
+                MessageKind::Response => pool.take(),
             };
         }
         let Some(body) = self.body.as_mut() else {
--- a/src/server/discovery_watch.rs
+++ b/src/server/discovery_watch.rs
@@ -3,7 +3,7 @@
 //! Discovery sends one JSON object for each list, and an empty line as a heartbeat in between.
 
 use crate::api::Nanos;
-use crate::http::{HttpError, Reader, Side};
+use crate::http::{HttpError, MessageKind, Reader};
 use crate::membership::Registry;
 use crate::membership::endpoint_list::EndpointList;
 use crate::membership::watch_schedule::{CallId, ListConfirmation, WatchAction, WatchSchedule};
@@ -205,7 +205,7 @@
         let id = self.schedule.begun(now);
         let (call, others) = (id.number(), self.calls.len());
         tracing::info!(call, addr = %self.discovery, version = since, others, "discovery watch begins");
-        let (reader, progress) = (Reader::new(Side::Responses), ListProgress::AwaitingFirstList);
+        let (reader, progress) = (Reader::new(MessageKind::Response), ListProgress::AwaitingFirstList);
         self.calls.push(Call { id, conn, reader, begun: now, since, progress });
         let request =
             format!("GET /api/targets?follow=1&since={since} HTTP/1.1\r\nHost: {}\r\n\r\n", self.discovery);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -7,7 +7,7 @@
 use pebbleturn::frontends::catalogue::search::*;
 use pebbleturn::frontends::catalogue::{cql, rpn, sru};
 use pebbleturn::frontends::platform::frame;
-use pebbleturn::http::{HttpError, Reader, Side};
+use pebbleturn::http::{HttpError, MessageKind, Reader};
 use pebbleturn::net::Pool;
 use quickcheck::{Arbitrary, Gen};
 
@@ -18,8 +18,8 @@
 }
 
 /// Reads all messages of `bytes`, handed over in pieces of the given sizes.
-fn read_http(side: Side, bytes: &[u8], cuts: &[u8]) -> Result<Vec<(String, Vec<u8>)>, HttpError> {
-    let (pool, mut reader, mut out) = (Pool::new(4), Reader::new(side), vec![]);
+fn read_http(kind: MessageKind, bytes: &[u8], cuts: &[u8]) -> Result<Vec<(String, Vec<u8>)>, HttpError> {
+    let (pool, mut reader, mut out) = (Pool::new(4), Reader::new(kind), vec![]);
     let (mut held, mut from, mut cuts) = (vec![], 0, cuts.iter().cycle());
     while from < bytes.len() {
         let to = (from + 1 + usize::from(*cuts.next().unwrap_or(&255))).min(bytes.len());
@@ -45,15 +45,17 @@
 
 #[test]
 fn http_messages_parse_alike_however_they_are_fragmented() {
-    let whole = read_http(Side::Requests, REQUESTS, &[]).unwrap();
+    let whole = read_http(MessageKind::Request, REQUESTS, &[]).unwrap();
     let bodies: Vec<&[u8]> = whole.iter().map(|(_, b)| b.as_slice()).collect();
     assert_eq!(bodies, [b"hello".as_slice(), b"", b"abcde"]);
-    check(1, move |cuts: Vec<u8>| assert_eq!(read_http(Side::Requests, REQUESTS, &cuts).unwrap(), whole));
+    check(1, move |cuts: Vec<u8>| {
+        assert_eq!(read_http(MessageKind::Request, REQUESTS, &cuts).unwrap(), whole)
+    });
 }
 
 #[test]
 fn http_rejects_ambiguous_and_oversized_messages() {
-    let read = |text: &str| read_http(Side::Requests, text.as_bytes(), &[]);
+    let read = |text: &str| read_http(MessageKind::Request, text.as_bytes(), &[]);
     let post = |headers: &str| read(&format!("POST / HTTP/1.1\r\n{headers}\r\n\r\n"));
     for bad in [
         "Content-Length: 1\r\nContent-Length: 2",
@@ -81,8 +83,8 @@
             [&b""[..], b"\0\0\0\x20Y", &REQUESTS[..cut % REQUESTS.len()], &apdu, b"<searchRetrieveResponse>"]
         {
             let all = [start, &bytes].concat();
-            let _ = read_http(Side::Requests, &all, &[7]);
-            let _ = read_http(Side::Responses, &all, &[3]);
+            let _ = read_http(MessageKind::Request, &all, &[7]);
+            let _ = read_http(MessageKind::Response, &all, &[3]);
             let _ = (frame::read(&all), ber::size(&all), Apdu::decode(&all), Record::from_iso2709(&all));
             let _ = sru::read_response(&all);
             let text = String::from_utf8_lossy(&all);
