--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -162,7 +162,7 @@
             return None;
         };
         self.over = true;
-        let step = if reader.end() { sru_answer(reader, task, host).ok() } else { None };
+        let step = if reader.on_eof() { sru_answer(reader, task, host).ok() } else { None };
         step.filter(|s| matches!(s, Step::Done(_)))
     }
 
--- a/src/http/reader.rs
+++ b/src/http/reader.rs
@@ -71,7 +71,7 @@
     }
 
     /// The connection has ended. Returns whether the message is whole, as one without a length is now.
-    pub fn end(&mut self) -> bool {
+    pub fn on_eof(&mut self) -> bool {
         if self.stage == Stage::UntilClose {
             self.stage = Stage::Done;
         }
--- a/src/server/discovery_watch.rs
+++ b/src/server/discovery_watch.rs
@@ -304,7 +304,7 @@
                     }
                 }
                 ReadOutcome::Closed => {
-                    call.reader.end();
+                    call.reader.on_eof();
                     self.process_lists(id, now, net, registry)?;
                     return Err(WatchError::Closed);
                 }
