--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,5 +1,4 @@
-//! One connection: partial reads, partial writes, a bounded queue of what is still to be written, and how
-//! it is closed.
+//! A TCP connection: partial reads and writes, a bounded output queue, and closing.
 
 use super::buffer::{Buf, Pool};
 use super::event::ConnectionClass;
@@ -9,77 +8,78 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::Shutdown;
 
-/// Most buffers that may wait to be written on one connection.
+/// Most buffers in the output queue of one connection.
 const MAX_QUEUED_BUFFERS: usize = 32;
-/// How much of what a peer sends while its connection lingers is read, bytes.
+/// Most bytes of input that are read and discarded on a lingering connection.
 const MAX_LINGER_DISCARD_BYTES: usize = 256 * 1024;
-/// How long a peer may take nothing of a last message that is not written yet; as long as a request may take
-/// to come.
+/// How long a lingering connection stays open without write progress while its last message is not fully
+/// written. As long as a request may take to arrive.
 const UNREAD_MESSAGE_TIMEOUT: Nanos = 2_500_000_000;
 
-/// What a read gave.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many new bytes; there may be more.
+    /// The number of new bytes; there may be more.
     Read(usize),
-    /// Nothing for now; an event follows when there is something.
+    /// No data is available; an event follows when there is some.
     WouldBlock,
-    /// The input buffer is full; consume first.
+    /// The input buffer is full; some of it has to be consumed first.
     BufferFull,
-    /// No buffer is free for now; an event follows when one is.
+    /// The pool has no free buffer; an event follows when it has one.
     NoBuffer,
-    /// The peer has ended the connection, or it broke.
+    /// The peer closed the connection, or it failed.
     Closed,
 }
 
-/// The connection's queue, or the pool, has no room for the message. Nothing of it was queued.
+/// A message was not queued: the connection is closed, or its output queue or the pool has no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the connection takes no more")]
+#[error("the connection is closed, or its output queue or buffer pool is full")]
 pub struct QueueFull;
 
-/// What became of a message that was offered.
+/// Result of offering a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// Its first bytes were handed to the system; the rest is queued.
+    /// At least its first byte was written to the socket; the rest is queued.
     Begun,
-    /// The system takes nothing for now, and nothing was queued. An event follows when it does.
+    /// Nothing can be written now, and nothing was queued. An event follows when the message may be offered
+    /// again.
     NotBegun,
 }
 
 /// Which side opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// It came from a listener.
+    /// A listener accepted it.
     Accepted,
     /// This side dialled it.
     Dialed,
 }
 
-/// What becomes of a connection once all that was queued is written.
+/// How a connection is closed once its output queue is empty.
 #[derive(Debug)]
 enum Closing {
     /// It stays open.
     No,
-    /// It is closed.
+    /// It is closed at once.
     AfterFlush,
-    /// Its writing side is ended, and the peer is given a moment to read the last message.
+    /// Its write half is shut down, and it stays open for a while so that the peer can read the last message.
     Lingering(Linger),
 }
 
-/// A connection whose peer is given a moment to read the last message.
+/// State of a lingering connection.
 #[derive(Debug)]
 struct Linger {
-    /// Bytes of input that are still read and dropped.
+    /// Bytes of input that may still be read and discarded.
     discard_bytes_left: usize,
-    /// Bytes that had been flushed when that number was last seen to grow.
+    /// Bytes flushed as of `progress_at`.
     flushed_bytes: u64,
-    /// When it was last seen to grow.
+    /// When the number of flushed bytes was last seen to grow.
     progress_at: Nanos,
-    /// The writing side was ended.
+    /// The write half was shut down.
     write_shut: bool,
 }
 
-/// What follows from an event for a connection that is being dialled.
+/// State of a dial after an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DialOutcome {
     Connected,
@@ -87,14 +87,14 @@
     Failed,
 }
 
-/// What the owner of a connection does after a flush.
+/// What the poll loop has to do after a flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FlushOutcome {
-    /// Nothing: something is still queued, or nothing was, or the connection lingers.
+    /// Nothing: bytes are still queued, or none were, or the connection lingers.
     Nothing,
-    /// All that was queued has been written, and more may be.
+    /// Report that the output queue is empty and the connection is writable.
     Flushed,
-    /// The connection is to be closed.
+    /// Close the connection.
     Close,
 }
 
@@ -105,14 +105,14 @@
     pub class: ConnectionClass,
     pub origin: Origin,
     pub input: Option<Buf>,
-    /// The peer has ended the connection or it broke, though what came before that may be unread.
+    /// The peer closed the connection, or it failed. Data received before may be unread.
     pub peer_ended: bool,
-    /// Where its buffers come from.
+    /// Pool of its buffers.
     pool: Pool,
     output: VecDeque<Buf>,
     connected: bool,
     closing: Closing,
-    /// A message was offered of which the system took nothing.
+    /// A message was offered while the socket was not writable.
     awaits_writable: bool,
     bytes_queued: u64,
     bytes_flushed: u64,
@@ -147,17 +147,17 @@
         self.connected
     }
 
-    /// Bytes queued since the start.
+    /// Bytes queued since the connection was opened, including those written directly.
     pub fn bytes_queued(&self) -> u64 {
         self.bytes_queued
     }
 
-    /// Bytes handed to the system since the start.
+    /// Bytes written to the socket since the connection was opened.
     pub fn bytes_flushed(&self) -> u64 {
         self.bytes_flushed
     }
 
-    /// Whether it is closed once all is written, at once or after lingering.
+    /// Whether it closes once all is written, at once or after lingering.
     pub fn is_closing(&self) -> bool {
         !matches!(self.closing, Closing::No)
     }
@@ -166,7 +166,7 @@
         matches!(self.closing, Closing::Lingering(_))
     }
 
-    /// An event says that a dial may have ended.
+    /// Handles an event on a connection that is being dialled.
     pub fn on_dial_event(&mut self, is_error: bool) -> DialOutcome {
         let failed = self.stream.take_error().map_or(true, |e| e.is_some());
         if failed || is_error {
@@ -190,14 +190,14 @@
             };
         }
         let Some(buf) = &mut self.input else { return ReadOutcome::NoBuffer };
-        if buf.room() == 0 {
+        if buf.remaining_capacity() == 0 {
             return ReadOutcome::BufferFull;
         }
         loop {
-            return match self.stream.read(buf.space()) {
+            return match self.stream.read(buf.spare_capacity_mut()) {
                 Ok(0) => ReadOutcome::Closed,
                 Ok(n) => {
-                    buf.added(n);
+                    buf.commit(n);
                     ReadOutcome::Read(n)
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => continue,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Consumes so many bytes of input.
+    /// Consumes `n` bytes of input.
     pub fn consume(&mut self, n: usize) {
         if let Some(input) = &mut self.input {
             input.consume(n);
@@ -218,14 +218,15 @@
         self.release_empty_input();
     }
 
-    /// Gives an empty input buffer back: an idle connection holds none.
+    /// Returns an empty input buffer to the pool, so that an idle connection holds none.
     fn release_empty_input(&mut self) {
         if self.input.as_ref().is_some_and(|b| b.data().is_empty()) {
             self.input = None;
         }
     }
 
-    /// Reads and drops what a lingering peer sends. False once that is enough.
+    /// Reads and discards input on a lingering connection, up to `MAX_LINGER_DISCARD_BYTES`. Returns whether
+    /// the connection stays open: false after the end of the input or an error.
     pub fn discard(&mut self) -> bool {
         let Closing::Lingering(linger) = &mut self.closing else { return true };
         let mut sink = [0; 16 * 1024];
@@ -240,11 +241,12 @@
         true
     }
 
-    /// Writes a message as far as the system takes it at once and queues the rest, or queues nothing.
+    /// Writes as much of a message as the socket accepts and queues the rest. Fails, and queues nothing, if
+    /// the rest does not fit.
     pub fn queue(&mut self, message: &[u8]) -> Result<(), QueueFull> {
-        // Guards answers against an empty pool: most messages need no buffer.
+        // A direct write needs no buffer, so most responses can be sent even when the pool is exhausted.
         let written = if self.connected && self.output.is_empty() {
-            // What is wrong with the connection shows at the next flush.
+            // The next flush reports an error.
             self.stream.write(message).unwrap_or(0)
         } else {
             0
@@ -252,8 +254,8 @@
         self.queue_rest(message, written)
     }
 
-    /// Writes a message as far as the system takes it at once and queues the rest. Nothing is queued of one of
-    /// which the system takes nothing: its owner may have to look at it again before it begins.
+    /// Writes as much of a message as the socket accepts and queues the rest. If the socket accepts nothing,
+    /// nothing is queued, so that the owner can decide again whether to send the message.
     pub fn offer(&mut self, message: &[u8]) -> io::Result<Offer> {
         if !self.connected || !self.output.is_empty() {
             return Ok(Offer::NotBegun);
@@ -270,18 +272,18 @@
                 Err(e) => return Err(e),
             }
         };
-        // Half a message can't be followed by another: the connection is of no more use.
+        // No other message can follow a truncated one, so the caller has to close the connection.
         self.queue_rest(message, written).map_err(io::Error::other)?;
         Ok(Offer::Begun)
     }
 
-    /// Queues what is left of a message of which so many bytes were written.
+    /// Queues the rest of a message of which `written` bytes were written directly.
     fn queue_rest(&mut self, message: &[u8], written: usize) -> Result<(), QueueFull> {
         self.bytes_queued += written as u64;
         self.bytes_flushed += written as u64;
         let message = &message[written..];
         let mut new_buffers: Vec<Buf> = Vec::new();
-        let fits_in_tail = self.output.back().map_or(0, Buf::room).min(message.len());
+        let fits_in_tail = self.output.back().map_or(0, Buf::remaining_capacity).min(message.len());
         let mut rest = &message[fits_in_tail..];
         while !rest.is_empty() {
             if self.output.len() + new_buffers.len() >= MAX_QUEUED_BUFFERS {
@@ -300,17 +302,18 @@
         Ok(())
     }
 
-    /// Writes what the system takes, and tells what follows from it.
+    /// Writes as much of the output queue as the socket accepts, and returns what to do next.
     pub fn flush(&mut self) -> io::Result<FlushOutcome> {
-        let was_written = self.all_written();
+        let was_empty = self.all_written();
         self.write_queued()?;
         if !self.all_written() {
             return Ok(FlushOutcome::Nothing);
         }
         match &mut self.closing {
             Closing::Lingering(linger) => {
-                // The peer reads the end; a close with input unread could take the last message from it.
-                // Once: each call wakes the poll, whose event that it is writable leads here again.
+                // The peer reads the end of the stream. Closing the socket with unread input would reset the
+                // connection, and the peer could lose the last message. Shut down only once: each call
+                // triggers another writable event, which calls `flush` again.
                 if !std::mem::replace(&mut linger.write_shut, true) {
                     let _ = self.stream.shutdown(Shutdown::Write);
                 }
@@ -318,8 +321,8 @@
             }
             Closing::AfterFlush => Ok(FlushOutcome::Close),
             Closing::No => {
-                let awaited = std::mem::take(&mut self.awaits_writable);
-                Ok(if awaited || !was_written { FlushOutcome::Flushed } else { FlushOutcome::Nothing })
+                let was_awaited = std::mem::take(&mut self.awaits_writable);
+                Ok(if was_awaited || !was_empty { FlushOutcome::Flushed } else { FlushOutcome::Nothing })
             }
         }
     }
@@ -347,12 +350,12 @@
         self.output.is_empty()
     }
 
-    /// Closes once all is written.
+    /// Closes the connection once all is written.
     pub fn close_after_flush(&mut self) {
         self.closing = Closing::AfterFlush;
     }
 
-    /// Lingers once all is written; what was read and not consumed is dropped.
+    /// Lingers once all is written; unconsumed input is dropped.
     pub fn linger(&mut self) {
         self.input = None;
         self.closing = Closing::Lingering(Linger {
@@ -363,7 +366,7 @@
         });
     }
 
-    /// The time of a lingering peer starts now.
+    /// Starts measuring the write progress of a lingering connection.
     pub fn start_linger_timer(&mut self, now: Nanos) {
         let bytes_flushed = self.bytes_flushed;
         if let Closing::Lingering(linger) = &mut self.closing {
@@ -371,15 +374,15 @@
         }
     }
 
-    /// The time of a lingering peer is over. Whether it gets more: it has taken some since, or may still take
-    /// the first.
+    /// Whether a lingering connection stays open after its linger time-out: bytes were flushed since the last
+    /// check, or some are unwritten and the last progress is less than `UNREAD_MESSAGE_TIMEOUT` ago.
     pub fn extend_linger(&mut self, now: Nanos) -> bool {
         let (bytes_flushed, all_written) = (self.bytes_flushed, self.all_written());
         let Closing::Lingering(linger) = &mut self.closing else { return false };
-        let grew = bytes_flushed > linger.flushed_bytes;
-        if grew {
+        let has_progressed = bytes_flushed > linger.flushed_bytes;
+        if has_progressed {
             (linger.flushed_bytes, linger.progress_at) = (bytes_flushed, now);
         }
-        grew || (!all_written && now < linger.progress_at + UNREAD_MESSAGE_TIMEOUT)
+        has_progressed || (!all_written && now < linger.progress_at + UNREAD_MESSAGE_TIMEOUT)
     }
 }
