--- a/src/net/poll_loop/closing.rs
+++ b/src/net/poll_loop/closing.rs
@@ -1,15 +1,15 @@
-//! Closing of the poll loop's connections: at once, after what was queued, or after a moment for the peer to
-//! read.
+//! Closing of connections: at once, after the output queue is written, or after lingering so that the peer
+//! can read the last message.
 
 use super::PollLoop;
 use crate::api::Nanos;
 use crate::net::connection::Origin;
 use crate::net::event::ConnId;
 
-/// How long a peer may take to read the last message before its connection is closed.
+/// How long a connection lingers, ns, for the peer to read the last message.
 const LINGER_TIMEOUT: Nanos = 400_000_000;
 
-/// A lingering connection, and when it is next looked at.
+/// A lingering connection, and the time of its next check.
 #[derive(Debug)]
 pub(super) struct LingerCheck {
     conn: ConnId,
@@ -17,7 +17,7 @@
 }
 
 impl PollLoop {
-    /// Closes at once.
+    /// Closes a connection at once.
     pub fn close(&mut self, id: ConnId) {
         let Some(c) = self.sources.remove_connection(self.poll.registry(), id) else { return };
         if c.origin == Origin::Accepted {
@@ -26,7 +26,7 @@
         self.closing_after_flush -= usize::from(c.is_closing());
     }
 
-    /// Closes once all that was queued is written.
+    /// Closes a connection once its output queue is written.
     pub fn close_after_flush(&mut self, id: ConnId) {
         let Some(c) = self.sources.connection_mut(id).filter(|c| !c.is_closing()) else { return };
         c.close_after_flush();
@@ -37,8 +37,9 @@
         }
     }
 
-    /// Closes once all that was queued is written and the peer has had a moment to read it, even one that is
-    /// still sending: a close over unread bytes would take from it what the system still holds.
+    /// Closes a connection once its output queue is written and the peer has had time to read it, even if the
+    /// peer is still sending: closing a socket with unread input resets the connection, and data that the
+    /// peer has not received is lost.
     pub fn close_lingering(&mut self, id: ConnId, now: Nanos) {
         let Some(c) = self.sources.connection_mut(id).filter(|c| !c.is_closing()) else { return };
         c.linger();
@@ -47,14 +48,14 @@
         self.flush(id);
         let Some(c) = self.sources.connection_mut(id) else { return };
         c.start_linger_timer(now);
-        // What is unread by now makes no further event.
+        // Input that has already arrived triggers no further event.
         if !c.discard() {
             self.close(id);
         }
     }
 
-    /// Closes the connection that has been lingering for longest, if there is one whose last message is
-    /// written.
+    /// Closes the first lingering connection in the queue whose last message is written. Returns whether
+    /// there was one.
     pub fn close_oldest_lingering(&mut self) -> bool {
         for _ in 0..self.lingering.len() {
             let Some(check) = self.lingering.pop_front() else { break };
@@ -68,8 +69,8 @@
         false
     }
 
-    /// Closes connections whose peers have had their moment, which runs from when their last message was
-    /// written. Guards the places of others against peers that read nothing.
+    /// Closes lingering connections that have timed out, so that peers that read nothing don't use up the
+    /// connection limit. The time-out restarts while bytes of the last message are still being written.
     pub fn tick(&mut self, now: Nanos) {
         while let Some(LingerCheck { conn, .. }) = self.lingering.pop_front_if(|check| check.due <= now) {
             let Some(c) = self.sources.connection_mut(conn) else { continue };
@@ -81,7 +82,7 @@
         }
     }
 
-    /// When `tick` is next worth calling.
+    /// When `tick` has to be called next.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.lingering.front().map(|check| check.due)
     }
--- a/src/net/poll_loop/connections.rs
+++ b/src/net/poll_loop/connections.rs
@@ -1,4 +1,4 @@
-//! Dialling, reading and writing of the poll loop's connections.
+//! Dialling, reading from and writing to connections.
 
 use super::PollLoop;
 use crate::net::buffer::Pool;
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 
 impl PollLoop {
-    /// Starts a connection; `Connected` or `Broken` follows.
+    /// Starts to open a connection; a `Connected` or `Broken` event follows.
     pub fn dial(&mut self, addr: SocketAddr, owner: u8) -> io::Result<ConnId> {
         let (class, pool) = (ConnectionClass::Clients, self.pool.clone());
         let stream = TcpStream::connect(addr)?;
         self.add_connection(Connection::new(stream, owner, Origin::Dialed, class, pool))
     }
 
-    /// The same to another broker, with a pool of its own for the connection's buffers.
+    /// Starts to open a connection to another broker, with a separate pool for its buffers.
     pub fn dial_with_pool(&mut self, addr: SocketAddr, owner: u8, pool: Pool) -> io::Result<ConnId> {
         let stream = TcpStream::connect(addr)?;
         self.add_connection(Connection::new(stream, owner, Origin::Dialed, ConnectionClass::Peers, pool))
@@ -40,28 +40,28 @@
         self.sources.connection(id).is_some()
     }
 
-    /// Whether the peer has ended the connection, though what it sent before may be unread. Guards against
-    /// working for a peer that went while there was no room to read on.
+    /// Whether the peer has closed the connection, even if data that it sent before is unread. Lets the owner
+    /// skip work for a peer that disconnected while there was no buffer space to read further.
     pub fn peer_ended(&mut self, id: ConnId) -> bool {
         self.sources.connection(id).is_some_and(|c| c.peer_ended)
     }
 
-    /// Bytes queued on this connection since its start: the position of the next message's first byte.
+    /// Bytes queued on this connection since it was opened: the stream offset of the next message.
     pub fn queued(&mut self, id: ConnId) -> u64 {
         self.sources.connection(id).map_or(0, Connection::bytes_queued)
     }
 
-    /// Bytes of it that were handed to the system.
+    /// Bytes written to the socket since the connection was opened.
     pub fn flushed(&mut self, id: ConnId) -> u64 {
         self.sources.connection(id).map_or(0, Connection::bytes_flushed)
     }
 
-    /// Whether the connection is established and all that was queued on it was handed to the system.
+    /// Whether the connection is established and everything queued was written to the socket.
     pub fn is_flushed(&mut self, id: ConnId) -> bool {
         self.sources.connection(id).is_some_and(|c| c.is_connected() && c.all_written())
     }
 
-    /// Reads once.
+    /// Reads once from the socket into the input buffer.
     pub fn fill(&mut self, id: ConnId) -> ReadOutcome {
         let Some(c) = self.sources.connection_mut(id) else { return ReadOutcome::Closed };
         let outcome = c.fill();
@@ -71,27 +71,27 @@
         outcome
     }
 
-    /// What was read and not consumed.
+    /// The input that was read and not consumed.
     pub fn data(&mut self, id: ConnId) -> &[u8] {
         self.sources.connection(id).and_then(|c| c.input.as_ref()).map_or(&[], |b| b.data())
     }
 
-    /// Consumes so many bytes of input.
+    /// Consumes `n` bytes of input.
     pub fn consume(&mut self, id: ConnId, n: usize) {
         if let Some(c) = self.sources.connection_mut(id) {
             c.consume(n);
         }
     }
 
-    /// Queues a whole message and writes what can be written now. Fails where the connection is closed, or it
-    /// or its pool has no room.
+    /// Queues a whole message and writes what can be written now. Fails if the connection is closed, or its
+    /// output queue or pool has no room.
     pub fn send(&mut self, id: ConnId, message: &[u8]) -> Result<(), QueueFull> {
         let Some(c) = self.sources.connection_mut(id) else { return Err(QueueFull) };
         let before = c.bytes_queued();
         let queued = c.queue(message);
-        let half_sent = queued.is_err() && c.bytes_queued() > before;
-        if half_sent {
-            // Guards the peer against half a message with another behind it.
+        let is_truncated = queued.is_err() && c.bytes_queued() > before;
+        if is_truncated {
+            // Another message must not follow the truncated one.
             self.report_broken(id);
         } else if c.is_connected() {
             self.flush(id);
@@ -99,9 +99,9 @@
         queued
     }
 
-    /// Writes a message as far as the system takes it now, and queues the rest; nothing is queued of one that
-    /// can't begin now. Guards messages that may begin up to a moment only. Fails where the connection is
-    /// closed, or breaks.
+    /// Writes as much of a message as the socket accepts now and queues the rest. If the socket accepts
+    /// nothing, nothing is queued: for messages whose transmission must not start after a deadline. Fails if
+    /// the connection is closed or fails.
     pub fn offer(&mut self, id: ConnId, message: &[u8]) -> Result<Offer, QueueFull> {
         let Some(c) = self.sources.connection_mut(id) else { return Err(QueueFull) };
         match c.offer(message) {
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Repeats the event that there may be something to read: guards the other connections against a peer
-    /// that sends without end.
+    /// Queues another `Readable` event, for an owner that stopped before all input was read, so that a peer
+    /// that sends continuously doesn't starve the other connections.
     pub fn requeue_readable(&mut self, id: ConnId) {
         if let Some(owner) = self.sources.connection(id).map(|c| c.owner) {
             self.pending_events.push_back(NetEvent::Readable { owner, conn: id });
--- a/src/net/poll_loop/datagrams.rs
+++ b/src/net/poll_loop/datagrams.rs
@@ -1,4 +1,4 @@
-//! The poll loop's sockets for datagrams.
+//! Datagram sockets.
 
 use super::PollLoop;
 use crate::net::datagram::DatagramSocket;
@@ -8,26 +8,28 @@
 use std::net::SocketAddr;
 
 impl PollLoop {
-    /// Sends and receives datagrams at this address.
+    /// Binds a UDP socket to `addr`.
     pub fn bind_datagram_socket(&mut self, addr: SocketAddr, owner: u8) -> io::Result<DatagramSocketId> {
         let socket = DatagramSocket::bind(addr, owner)?;
         let id = self.sources.insert(self.poll.registry(), Source::Datagrams(socket))?;
         Ok(DatagramSocketId { slot: id.slot })
     }
 
-    /// Sends a datagram; one that the system does not take now is lost, as others are on the way.
+    /// Sends a datagram. One that can't be sent at once is dropped, as UDP may drop any in transit.
     pub fn send_datagram(&self, socket: DatagramSocketId, to: SocketAddr, bytes: &[u8]) {
         if let Some(socket) = self.sources.datagram_socket(socket) {
             socket.send(to, bytes);
         }
     }
 
-    /// The next datagram; none when all are received. One longer than `into` is cut.
+    /// Receives the next datagram into `into`: its length and sender, or `None` when none is waiting. One
+    /// longer than `into` is truncated.
     pub fn receive_datagram(&self, socket: DatagramSocketId, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
         self.sources.datagram_socket(socket)?.receive(into)
     }
 
-    /// Repeats the event that there may be datagrams: guards all else against a flood of them.
+    /// Queues another `Datagrams` event, for an owner that stopped before all were received, so that a flood
+    /// of datagrams doesn't starve the other sockets.
     pub fn requeue_datagrams(&mut self, owner: u8) {
         self.pending_events.push_back(NetEvent::Datagrams { owner });
     }
--- a/src/net/poll_loop/listeners.rs
+++ b/src/net/poll_loop/listeners.rs
@@ -1,4 +1,4 @@
-//! The poll loop's listeners and their accepted connections.
+//! Listeners, and accepting connections from them.
 
 use super::PollLoop;
 use crate::net::buffer::Pool;
@@ -11,22 +11,23 @@
 use std::net::SocketAddr;
 
 impl PollLoop {
-    /// Listens, and returns the address with the port that the system chose where 0 was asked for. An error
-    /// of the system is returned as it is.
+    /// Listens on `addr`, and returns the bound address with the assigned port if port 0 was requested.
+    /// Returns the operating system's error on failure.
     pub fn listen(&mut self, addr: SocketAddr, owner: u8) -> io::Result<SocketAddr> {
         let (class, pool) = (ConnectionClass::Clients, self.pool.clone());
         self.add_listener(Listener { socket: TcpListener::bind(addr)?, owner, class, pool })
     }
 
-    /// Listens on a socket that is bound already and may be shared with other processes.
+    /// Listens on a socket that is already bound and may be shared with other processes.
     pub fn listen_on(&mut self, socket: std::net::TcpListener, owner: u8) -> io::Result<SocketAddr> {
         socket.set_nonblocking(true)?;
         let (class, pool) = (ConnectionClass::Clients, self.pool.clone());
         self.add_listener(Listener { socket: TcpListener::from_std(socket), owner, class, pool })
     }
 
-    /// Listens for peers that have a limit and buffers of their own: crowds elsewhere take nothing from them,
-    /// nor they from others. The owner keeps to `max_accepted` connections.
+    /// Listens for connections of a class with a limit and a buffer pool of its own, so that load in one
+    /// class takes no capacity from another. Adds `max_accepted` to the limit of the class, which the owner
+    /// enforces.
     pub fn listen_with_pool(
         &mut self,
         addr: SocketAddr,
@@ -46,8 +47,8 @@
         Ok(bound)
     }
 
-    /// Stops listening for this owner. What the system had accepted already is taken first: it counts as
-    /// ours, unless the socket is `shared` with a process that takes it.
+    /// Closes the owner's listeners. Connections in the listen backlog are accepted first, since their
+    /// clients see them as established, unless the socket is `shared` with another process that accepts them.
     pub fn stop_listening(&mut self, owner: u8, shared: bool) {
         for slot in self.sources.listeners_of(owner) {
             if !shared {
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Accepts from each listener at which connections may wait, once: no more than a batch comes in before
-    /// the owner has looked at it.
+    /// Accepts at most one batch from each ready listener, so that the owner handles it before more are
+    /// accepted.
     pub(super) fn accept_from_ready(&mut self) {
         let mut listeners = std::mem::take(&mut self.ready_listeners);
         listeners.sort_unstable();
@@ -68,11 +69,11 @@
         }
     }
 
-    fn accept(&mut self, slot: usize, most: usize) {
-        for _ in 0..most {
+    fn accept(&mut self, slot: usize, limit: usize) {
+        for _ in 0..limit {
             let Some(listener) = self.sources.listener(slot) else { return };
             let (owner, class) = (listener.owner, listener.class);
-            // Guards clients against a close without an answer: the system holds who is not accepted yet.
+            // Clients wait in the listen backlog instead of being disconnected without a response.
             if self.accept_limits.is_exhausted(class) {
                 let open = self.accept_limits.open(class);
                 tracing::warn!(open, "accepting is paused: the connection limit is reached");
--- a/src/net/poll_loop/mod.rs
+++ b/src/net/poll_loop/mod.rs
@@ -1,4 +1,4 @@
-//! The poll loop: it turns readiness into events and owns all sockets and connections.
+//! The poll loop: owns all sockets and turns their readiness into events.
 
 mod closing;
 mod connections;
@@ -17,14 +17,14 @@
 use std::io::{self, ErrorKind, Read};
 use std::time::Duration;
 
-/// The token of the waker: no slot of the table has it.
+/// The token of the waker. No slot of the source table has this number.
 const WAKE_TOKEN: Token = Token(usize::MAX - 1);
-/// How long to wait before accepting again, when the system had refused or the limit was reached.
+/// How long to wait before accepting again after `accept` failed or the connection limit was reached.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Descriptors that the program holds beside the sockets.
+/// Allowance for open descriptors other than the registered sources.
 const OTHER_DESCRIPTORS: usize = 16;
 
-/// All sockets of the program.
+/// All sockets of the process.
 #[derive(Debug)]
 pub struct PollLoop {
     poll: Poll,
@@ -35,22 +35,22 @@
     accept_limits: AcceptLimits,
     /// Connections that wait for a buffer.
     awaiting_buffer: VecDeque<ConnId>,
-    /// Events that arose outside `wait`.
+    /// Events that the next return of `wait` reports.
     pending_events: VecDeque<NetEvent>,
-    /// Listeners that are looked at again a little later: the system refused, or there is no room.
+    /// Listeners that are retried after `ACCEPT_RETRY_DELAY`: `accept` failed or the limit was reached.
     paused_listeners: Vec<usize>,
-    /// Listeners at which more may wait.
+    /// Listeners at which connections may be waiting.
     ready_listeners: Vec<usize>,
-    /// Connections whose peers read a last message.
+    /// Lingering connections and the times of their next checks.
     lingering: VecDeque<LingerCheck>,
-    /// Connections to be closed once all is written.
+    /// Number of connections that close once all is written, at once or after lingering.
     closing_after_flush: usize,
 }
 
 impl PollLoop {
-    /// A poll loop whose connections share `pool`. Owners keep to `max_accepted` accepted connections; a few
-    /// more are taken for the moment in which they choose whom to close, and any beyond wait unaccepted until
-    /// there is room. An error of the system is returned as it is.
+    /// A poll loop whose client connections share `pool`. Owners enforce a limit of `max_accepted` accepted
+    /// connections; a few more are accepted so that owners can choose which to close, and any beyond those
+    /// wait in the listen backlog. Returns the operating system's error on failure.
     pub fn new(pool: Pool, max_accepted: usize) -> io::Result<PollLoop> {
         let mut accept_limits = AcceptLimits::default();
         accept_limits.set_limit(ConnectionClass::Clients, max_accepted);
@@ -70,32 +70,32 @@
         })
     }
 
-    /// The pool of the buffers of clients' connections and of dialled ones.
+    /// Buffer pool of the client connections, and of those opened by [`dial`](PollLoop::dial).
     pub fn pool(&self) -> &Pool {
         &self.pool
     }
 
-    /// Accepted connections of clients that are open.
+    /// Number of open connections accepted from clients.
     pub fn accepted(&self) -> usize {
         self.accepted_in_class(ConnectionClass::Clients)
     }
 
-    /// From now on owners keep to so many accepted connections of clients.
+    /// Sets the limit of connections accepted from clients.
     pub fn set_accepted_limit(&mut self, max_accepted: usize) {
         self.accept_limits.set_limit(ConnectionClass::Clients, max_accepted);
     }
 
-    /// Descriptors that are open: all sockets, and what the program holds beside them.
+    /// Number of open descriptors: the registered sources and an allowance for others.
     pub fn descriptors(&self) -> usize {
         self.sources.len() + OTHER_DESCRIPTORS
     }
 
-    /// Accepted connections of this class that are open.
+    /// Number of open accepted connections of a class.
     pub fn accepted_in_class(&self, class: ConnectionClass) -> usize {
         self.accept_limits.open(class)
     }
 
-    /// A handle that wakes this loop from another thread. An error of the system is returned as it is.
+    /// A handle that wakes this loop from another thread. Returns the operating system's error on failure.
     pub fn waker(&mut self) -> io::Result<Waker> {
         if self.waker.is_none() {
             self.waker = Some(Waker::new(self.poll.registry(), WAKE_TOKEN)?);
@@ -103,7 +103,7 @@
         self.waker.clone().ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    /// Something is still to be written on a connection that closes after it, or an event has not been taken.
+    /// Whether a connection is still flushing or lingering before its close, or an event is pending.
     pub fn is_busy(&self) -> bool {
         self.closing_after_flush > 0 || !self.pending_events.is_empty()
     }
@@ -116,13 +116,14 @@
         Ok(())
     }
 
-    /// Waits for events for at most `timeout`, and adds them to `events`. An error of the system is returned
-    /// as it is.
+    /// Waits for events for at most `timeout`, and appends them to `events`. Returns the operating system's
+    /// error on failure.
     pub fn wait(&mut self, timeout: Option<Duration>, events: &mut Vec<NetEvent>) -> io::Result<()> {
         let buffer_free = !self.awaiting_buffer.is_empty() && self.pool.take_for_untrusted().is_some();
-        let at_once = buffer_free || !self.pending_events.is_empty() || !self.ready_listeners.is_empty();
-        let mut timeout = if at_once { Some(Duration::ZERO) } else { timeout };
-        // Guards against a listener that never wakes again: what waits there makes no second event.
+        let has_ready_work =
+            buffer_free || !self.pending_events.is_empty() || !self.ready_listeners.is_empty();
+        let mut timeout = if has_ready_work { Some(Duration::ZERO) } else { timeout };
+        // Events are edge-triggered: connections already waiting at a paused listener trigger no new one.
         let paused = std::mem::take(&mut self.paused_listeners);
         if !paused.is_empty() {
             timeout = Some(timeout.unwrap_or(ACCEPT_RETRY_DELAY).min(ACCEPT_RETRY_DELAY));
