--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,17 +1,17 @@
-//! The one place where the system's clocks are read.
+//! The process's clock. Only this module reads the system's clocks.
 
 use std::sync::OnceLock;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Seconds added to this process's clocks, for tests that show that decisions don't depend on the wall clock.
+/// Seconds added to this process's clocks, for tests that check that no decision depends on the wall clock.
 static OFFSET_SECONDS: OnceLock<i64> = OnceLock::new();
 
-/// Offsets all clocks that are started from now on by so many seconds. Only the first call has an effect.
+/// Offsets all clocks started after this call by `seconds`. Only the first call has an effect.
 pub fn set_offset(seconds: i64) {
     let _ = OFFSET_SECONDS.set(seconds);
 }
 
-/// A monotonic clock in nanoseconds since the Unix epoch, which was read once when it was started.
+/// A monotonic clock in nanoseconds since the Unix epoch. It reads the wall clock once, when it is started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     base: u64,
@@ -24,12 +24,12 @@
         Clock { base: wall_clock(), start: Instant::now() }
     }
 
-    /// How far the system's wall clock is ahead of this clock, ns: other than about 0 once it was stepped.
+    /// How far the system's wall clock is ahead of this clock, ns: about 0 unless the wall clock was stepped.
     pub fn wall_clock_lead(&self) -> i64 {
         wall_clock().wrapping_sub(self.now()) as i64
     }
 
-    /// The time now, nanoseconds since the Unix epoch.
+    /// The current time, nanoseconds since the Unix epoch.
     pub fn now(&self) -> u64 {
         self.base + self.start.elapsed().as_nanos() as u64
     }
--- a/src/net/datagram.rs
+++ b/src/net/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams of one UDP socket.
+//! A UDP socket.
 
 use mio::net::UdpSocket;
 use std::io::{self, ErrorKind};
@@ -12,23 +12,24 @@
 }
 
 impl DatagramSocket {
-    /// Binds the address. An error of the system is returned as it is.
+    /// Binds the address. Returns the operating system's error on failure.
     pub fn bind(addr: SocketAddr, owner: u8) -> io::Result<DatagramSocket> {
         Ok(DatagramSocket { socket: UdpSocket::bind(addr)?, owner })
     }
 
-    /// Sends a datagram. One that the system does not take now is lost, as others are on the way.
+    /// Sends a datagram. One that can't be sent at once is dropped, as UDP may drop any in transit.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let _ = self.socket.send_to(bytes, to);
     }
 
-    /// The next datagram, its length and sender; none when all are received. One longer than `into` is cut.
+    /// Receives the next datagram into `into`: its length and sender, or `None` when none is waiting. One
+    /// longer than `into` is truncated.
     pub fn receive(&self, into: &mut [u8]) -> Option<(usize, SocketAddr)> {
         loop {
             match self.socket.recv_from(into) {
                 Ok(received) => return Some(received),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
-                // What an earlier datagram met on its way; the next one may be behind it.
+                // ConnectionRefused is an ICMP error for a datagram sent earlier; another may be waiting.
                 Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionRefused) => {}
                 Err(_) => return None,
             }
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -1,30 +1,30 @@
-//! Events of the poll loop, and the identifiers that they carry.
+//! Events of the poll loop, and the identifiers in them.
 
 use super::signals::Signal;
 use std::net::SocketAddr;
 
-/// A connection. Identifiers are never used again, so a late event can't reach a newer connection.
+/// The identifier of a connection. It is not reused, so a late event can't reach a newer connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId {
-    /// Slot in the table of sources; a later source may get the same one.
+    /// Slot in the source table; a later source may get the same one.
     pub(super) slot: usize,
-    /// Distinguishes the sources that had this slot.
+    /// Distinguishes the sources that use the slot one after another.
     pub(super) serial: u32,
 }
 
 /// The identifier of a datagram socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramSocketId {
-    /// Slot in the table of sources.
+    /// Slot in the source table.
     pub(super) slot: usize,
 }
 
-/// The connections that are counted together against one limit.
+/// Class of a connection. Each class has its own limit of accepted connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionClass {
-    /// Clients, and all connections that are dialled for them.
+    /// Clients, and the connections dialled on their behalf.
     Clients,
-    /// Callers of the admin endpoint.
+    /// Clients of the admin endpoint.
     Admin,
     /// Other brokers.
     Peers,
@@ -35,7 +35,7 @@
     pub(super) const COUNT: usize = 3;
 }
 
-/// What happened on the sockets.
+/// An event on a socket, or a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetEvent {
     /// A listener accepted a connection.
@@ -54,27 +54,27 @@
         /// The connection.
         conn: ConnId,
     },
-    /// There may be something to read.
+    /// There may be data to read, or the peer may have closed the connection.
     Readable {
         /// Owner of the connection.
         owner: u8,
         /// The connection.
         conn: ConnId,
     },
-    /// All queued bytes are written.
+    /// All queued bytes are written, or a refused message may be offered again.
     Flushed {
         /// Owner of the connection.
         owner: u8,
         /// The connection.
         conn: ConnId,
     },
-    /// The connection broke and is closed.
+    /// The connection failed and is closed.
     Broken {
         /// Owner of the connection.
         owner: u8,
         /// The connection.
         conn: ConnId,
-        /// Bytes handed to the system over the connection's lifetime, of all that were queued.
+        /// Bytes of the queued messages that were written to the socket over the connection's lifetime.
         flushed: u64,
     },
     /// There may be datagrams to receive.
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -6,36 +6,36 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// Most connections accepted at a time: the owner of each looks at it before more come in.
+/// Most connections accepted in a row: their owners handle them before more are accepted.
 pub(super) const ACCEPT_BATCH: usize = 8;
 
-/// A listening socket, and what its connections are given.
+/// A listening socket, and the settings of the connections accepted from it.
 #[derive(Debug)]
 pub(super) struct Listener {
     pub socket: TcpListener,
     pub owner: u8,
-    /// The class that its connections are counted in.
+    /// Class of its connections.
     pub class: ConnectionClass,
-    /// The pool that its connections take their buffers from.
+    /// Pool of its connections' buffers.
     pub pool: Pool,
 }
 
-/// What one call of `accept` gave.
+/// Result of one call of `accept`.
 #[derive(Debug)]
 pub(super) enum AcceptOutcome {
     /// A connection and the address of its peer.
     Accepted(TcpStream, SocketAddr),
-    /// The connection was gone before it was accepted, or the call was interrupted; the next one may be
-    /// there.
+    /// The connection was aborted before it was accepted, or the call was interrupted. Another connection may
+    /// be waiting.
     Retry,
-    /// None waits.
+    /// No connection is waiting.
     WouldBlock,
-    /// The system refused.
+    /// The call failed, for example for lack of descriptors.
     Failed(io::Error),
 }
 
 impl Listener {
-    /// Accepts one connection that waits.
+    /// Accepts one waiting connection.
     pub fn accept(&self) -> AcceptOutcome {
         match self.socket.accept() {
             Ok((stream, peer)) => AcceptOutcome::Accepted(stream, peer),
@@ -48,14 +48,14 @@
     }
 }
 
-/// How many accepted connections of one class are open, and how many its owners keep to.
+/// Number of open accepted connections of one class, and the limit that their owners enforce.
 #[derive(Clone, Copy, Debug, Default)]
 struct AcceptLimit {
     limit: usize,
     open: usize,
 }
 
-/// The accepted connections of all classes.
+/// The open accepted connections and their limits, by class.
 #[derive(Debug, Default)]
 pub(super) struct AcceptLimits([AcceptLimit; ConnectionClass::COUNT]);
 
@@ -65,28 +65,29 @@
         self.0[class as usize].limit = limit;
     }
 
-    /// Raises the limit of a class.
+    /// Raises the limit of a class by `more`.
     pub fn add_limit(&mut self, class: ConnectionClass, more: usize) {
         self.0[class as usize].limit += more;
     }
 
-    /// Accepted connections of a class that are open.
+    /// Number of open accepted connections of a class.
     pub fn open(&self, class: ConnectionClass) -> usize {
         self.0[class as usize].open
     }
 
-    /// Whether no more may be accepted. Owners get a few beyond the limit, to choose whom to close.
+    /// Whether no more may be accepted. Two batches beyond the limit are accepted, so that the owners can
+    /// choose which connections to close.
     pub fn is_exhausted(&self, class: ConnectionClass) -> bool {
         let class = &self.0[class as usize];
         class.open >= class.limit + 2 * ACCEPT_BATCH
     }
 
-    /// Counts a connection that was accepted.
+    /// Counts an accepted connection.
     pub fn on_accepted(&mut self, class: ConnectionClass) {
         self.0[class as usize].open += 1;
     }
 
-    /// Counts a connection that was closed after it had been accepted.
+    /// Counts an accepted connection as closed.
     pub fn on_closed(&mut self, class: ConnectionClass) {
         self.0[class as usize].open -= 1;
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,9 +1,9 @@
-//! Sockets: one poll loop, connections with bounded queues, and buffers of one size from a pool.
+//! Sockets: a poll loop, connections with bounded queues, and a pool of fixed-size buffers.
 //!
-//! [`PollLoop`] owns every socket and reports what happens on them as [`NetEvent`]s, each with the number of
-//! the owner that listened or dialled. Nothing here blocks but [`PollLoop::wait`], and the time is an
-//! argument. Modules use only those above them: `buffer`, `signals`, `event`; `connection`, `listener`,
-//! `datagram`; `source_table`; `poll_loop`.
+//! [`PollLoop`] owns every socket and reports [`NetEvent`]s, each with the number of the owner that opened
+//! the listener or dialled the connection. Only [`PollLoop::wait`] blocks, and the time is passed as an
+//! argument. Each module uses only those that precede it in this list: `buffer`, `signals`, `event`;
+//! `connection`, `listener`, `datagram`; `source_table`; `poll_loop`.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! Signals as bytes on pipes, so that the poll loop sees them as it sees sockets.
+//! Signals, delivered over socket pairs so that the poll loop handles them like sockets.
 
 use mio::net::UnixStream;
 use mio::{Registry, Token};
@@ -6,7 +6,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// What a signal asks of the program.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// A graceful shutdown: SIGTERM and SIGINT.
@@ -15,13 +15,13 @@
     Reload,
 }
 
-/// The caught signals, each with the pipe on which it arrives.
+/// The caught signals, each with the read end of its pipe.
 #[derive(Debug)]
 pub struct Signals(pub(super) Vec<(Signal, UnixStream)>);
 
 impl Signals {
-    /// Catches SIGTERM, SIGINT and SIGHUP: from here on none of them kills the process. An error of the
-    /// system is returned as it is.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP; from then on none of them terminates the process.
+    /// Returns the operating system's error on failure.
     pub fn catch() -> io::Result<Signals> {
         let pipe = |signal: Signal, numbers: &[i32]| -> io::Result<(Signal, UnixStream)> {
             let (read, write) = std::os::unix::net::UnixStream::pair()?;
@@ -45,7 +45,7 @@
         Ok(Waker(Arc::new(mio::Waker::new(registry, token)?)))
     }
 
-    /// Sends the signal. An error of the system is returned as it is.
+    /// Wakes the loop. Returns the operating system's error on failure.
     pub fn wake(&self) -> io::Result<()> {
         self.0.wake()
     }
--- a/src/net/source_table.rs
+++ b/src/net/source_table.rs
@@ -1,4 +1,4 @@
-//! The sockets and pipes that the poll watches, each in a slot whose number is its token.
+//! The sockets and pipes registered with the poll, each in a slot whose number is its token.
 
 use super::connection::Connection;
 use super::datagram::DatagramSocket;
@@ -10,7 +10,7 @@
 use slab::Slab;
 use std::io;
 
-/// What is watched.
+/// A registered socket or pipe.
 #[derive(Debug)]
 pub(super) enum Source {
     Listener(Listener),
@@ -40,7 +40,7 @@
     source: Source,
 }
 
-/// All sources. A slot is used again, its serial number is not.
+/// All sources. Slots are reused, serial numbers are not.
 #[derive(Debug, Default)]
 pub(super) struct SourceTable {
     slots: Slab<Slot>,
@@ -48,7 +48,7 @@
 }
 
 impl SourceTable {
-    /// Registers a source and keeps it. On an error the source is dropped, and with it closed.
+    /// Registers and stores a source. On an error the source is dropped, which closes it.
     pub fn insert(&mut self, registry: &Registry, mut source: Source) -> io::Result<ConnId> {
         let entry = self.slots.vacant_entry();
         let slot = entry.key();
@@ -64,7 +64,7 @@
         self.slots.len()
     }
 
-    /// The source in a slot, with the identifier that it has as a connection.
+    /// The source in a slot, and its identifier, which is meaningful for a connection.
     pub fn get_mut(&mut self, slot: usize) -> Option<(ConnId, &mut Source)> {
         let Slot { serial, source } = self.slots.get_mut(slot)?;
         Some((ConnId { slot, serial: *serial }, source))
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes a connection out and ends its registration.
+    /// Removes and deregisters a connection.
     pub fn remove_connection(&mut self, registry: &Registry, id: ConnId) -> Option<Box<Connection>> {
         self.connection(id)?;
         let Source::Connection(mut connection) = self.slots.remove(id.slot).source else { return None };
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The socket for datagrams.
+    /// The datagram socket.
     pub fn datagram_socket(&self, id: DatagramSocketId) -> Option<&DatagramSocket> {
         match self.slots.get(id.slot) {
             Some(Slot { source: Source::Datagrams(socket), .. }) => Some(socket),
