--- a/src/http/error.rs
+++ b/src/http/error.rs
@@ -1,26 +1,26 @@
-//! Why a message can't be read.
+//! Errors of reading a message.
 
 use crate::net::{MAX_BODY, MAX_HEAD};
 
-/// Why a message can't be read on.
+/// Why a message can't be read further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// Not HTTP/1.x, or not in a form that is understood.
+    /// Not HTTP/1.x, or a form that is not supported.
     #[error("malformed HTTP: {0}")]
     Malformed(&'static str),
     /// The body is larger than [`MAX_BODY`].
-    #[error("a body over {} bytes", MAX_BODY)]
+    #[error("body exceeds {} bytes", MAX_BODY)]
     TooLarge,
-    /// The head is larger than [`MAX_HEAD`].
-    #[error("a head over {} bytes", MAX_HEAD)]
+    /// The head is larger than [`MAX_HEAD`], or has too many header lines.
+    #[error("head exceeds {} bytes", MAX_HEAD)]
     HeadTooLarge,
-    /// No buffer is free for the body.
-    #[error("no buffer is free")]
+    /// The pool has no free buffer for the body.
+    #[error("no free buffer for the body")]
     NoBuffer,
 }
 
 impl HttpError {
-    /// The status of the response to a request that can't be read on.
+    /// Status of the response to a request that can't be read further.
     pub fn status(self) -> u16 {
         match self {
             HttpError::Malformed(_) => 400,
--- a/src/http/head.rs
+++ b/src/http/head.rs
@@ -1,4 +1,4 @@
-//! Heads of messages, and what they say of the body behind them.
+//! Message heads, and the framing of the body that they announce.
 
 use super::error::HttpError;
 use crate::net::{MAX_BODY, MAX_HEAD};
@@ -26,14 +26,14 @@
     pub status: u16,
     /// Header lines, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The connection stays open after this message.
+    /// Whether the connection stays open after this message.
     pub keep_alive: bool,
-    /// The sender waits for `100 Continue` before the body.
+    /// Whether the sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
 }
 
 impl Head {
-    /// The first header of that name (lower case).
+    /// Value of the first header with this name (lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
@@ -47,26 +47,26 @@
 /// How the end of a body is found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyFraming {
-    /// There is none.
+    /// There is no body.
     None,
-    /// It has so many bytes.
+    /// It has this length, in bytes.
     Length(usize),
-    /// It comes in chunks.
+    /// It is sent in chunks.
     Chunked,
     /// It ends with its connection.
     UntilClose,
 }
 
-/// A whole head.
+/// A complete head.
 #[derive(Debug)]
 pub(super) struct ParsedHead {
     pub head: Head,
     pub framing: BodyFraming,
-    /// Bytes that it took.
+    /// Size of the head, bytes.
     pub size: usize,
 }
 
-/// The headers that say how the end of the body is found.
+/// The headers that determine the framing of the body.
 #[derive(Debug, Default)]
 struct FramingHeaders {
     content_length: Option<usize>,
@@ -75,11 +75,12 @@
 
 impl FramingHeaders {
     fn add_content_length(&mut self, value: &str) -> Result<(), HttpError> {
-        let digits = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
-        let length = if digits { value.parse::<usize>().unwrap_or(usize::MAX) } else { 0 };
-        // Guards against two readings of one message: there is one length, in digits.
-        if !digits || self.content_length.is_some_and(|l| l != length) {
-            return Err(HttpError::Malformed("a bad Content-Length"));
+        let is_numeric = !value.is_empty() && value.bytes().all(|b| b.is_ascii_digit());
+        let length = if is_numeric { value.parse::<usize>().unwrap_or(usize::MAX) } else { 0 };
+        // Prevents request smuggling: another HTTP implementation could read conflicting or malformed lengths
+        // differently.
+        if !is_numeric || self.content_length.is_some_and(|l| l != length) {
+            return Err(HttpError::Malformed("invalid Content-Length"));
         }
         self.content_length = Some(length);
         Ok(())
@@ -87,7 +88,7 @@
 
     fn add_transfer_encoding(&mut self, value: &str) -> Result<(), HttpError> {
         if self.is_chunked || !value.eq_ignore_ascii_case("chunked") {
-            return Err(HttpError::Malformed("an unknown Transfer-Encoding"));
+            return Err(HttpError::Malformed("unsupported Transfer-Encoding"));
         }
         self.is_chunked = true;
         Ok(())
@@ -96,7 +97,7 @@
     fn framing(&self, kind: MessageKind, status: u16) -> Result<BodyFraming, HttpError> {
         let has_no_body = matches!(status, 100..200 | 204 | 304);
         match (self.is_chunked, self.content_length) {
-            (true, Some(_)) => Err(HttpError::Malformed("both a length and chunks")),
+            (true, Some(_)) => Err(HttpError::Malformed("both Content-Length and Transfer-Encoding")),
             _ if has_no_body => Ok(BodyFraming::None),
             (true, None) => Ok(BodyFraming::Chunked),
             (false, Some(length)) if length > MAX_BODY => Err(HttpError::TooLarge),
@@ -107,22 +108,22 @@
     }
 }
 
-/// Parses the head at the start of `data`; none where it is not whole yet.
+/// Parses the head at the start of `data`, or returns `None` if it is incomplete.
 pub(super) fn parse_head(kind: MessageKind, data: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let within = &data[..data.len().min(MAX_HEAD)];
+    let limited = &data[..data.len().min(MAX_HEAD)];
     let mut head = Head::default();
     let (size, version, headers) = match kind {
         MessageKind::Request => {
             let mut request = httparse::Request::new(&mut lines);
-            let Some(size) = head_size(request.parse(within), data.len())? else { return Ok(None) };
+            let Some(size) = head_size(request.parse(limited), data.len())? else { return Ok(None) };
             head.method = request.method.unwrap_or("").to_owned();
             head.target = request.path.unwrap_or("").to_owned();
             (size, request.version, request.headers)
         }
         MessageKind::Response => {
             let mut response = httparse::Response::new(&mut lines);
-            let Some(size) = head_size(response.parse(within), data.len())? else { return Ok(None) };
+            let Some(size) = head_size(response.parse(limited), data.len())? else { return Ok(None) };
             head.status = response.code.unwrap_or(0);
             (size, response.version, response.headers)
         }
@@ -146,7 +147,7 @@
 ) -> Result<(), HttpError> {
     let name = header.name.to_ascii_lowercase();
     let value = std::str::from_utf8(header.value);
-    let value = value.map_err(|_| HttpError::Malformed("a header is no text"))?.trim();
+    let value = value.map_err(|_| HttpError::Malformed("header value is not UTF-8"))?.trim();
     match name.as_str() {
         "content-length" => framing.add_content_length(value)?,
         "transfer-encoding" => framing.add_transfer_encoding(value)?,
@@ -168,13 +169,13 @@
 
 fn head_size(
     parsed: Result<httparse::Status<usize>, httparse::Error>,
-    seen: usize,
+    available: usize,
 ) -> Result<Option<usize>, HttpError> {
     match parsed {
         Ok(httparse::Status::Complete(n)) => Ok(Some(n)),
-        Ok(httparse::Status::Partial) if seen >= MAX_HEAD => Err(HttpError::HeadTooLarge),
+        Ok(httparse::Status::Partial) if available >= MAX_HEAD => Err(HttpError::HeadTooLarge),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(HttpError::HeadTooLarge),
-        Err(_) => Err(HttpError::Malformed("no HTTP head")),
+        Err(_) => Err(HttpError::Malformed("invalid HTTP head")),
     }
 }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages, read piece by piece as they come in, and written. Bodies have a length or come in
-//! chunks; nothing larger than `MAX_HEAD` and `MAX_BODY` is buffered.
+//! HTTP/1.1: incremental reading of messages, and formatting of responses. Bodies have a length or are sent
+//! in chunks; at most `MAX_HEAD` bytes of a head and `MAX_BODY` bytes of a body are buffered.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/http/reader.rs
+++ b/src/http/reader.rs
@@ -1,33 +1,33 @@
-//! Reading of messages, piece by piece.
+//! Incremental reading of messages.
 
 use super::error::HttpError;
 use super::head::{BodyFraming, Head, MessageKind, parse_head};
 use crate::net::{Buf, MAX_BODY, MAX_HEAD, Pool};
 
-/// Longest line with the size of a chunk, bytes.
+/// Longest chunk-size line, bytes.
 const MAX_CHUNK_SIZE_LINE: usize = 256;
 
-/// What comes next of a message.
+/// The part of a message that is read next. The numbers are the bytes left of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Head,
-    Length(usize),
+    SizedBody(usize),
     ChunkSize,
-    Chunk(usize),
+    ChunkData(usize),
     ChunkEnd,
     Trailer,
     UntilClose,
     Done,
 }
 
-/// Reads one message after the other from the bytes of a connection.
+/// Reads the messages of a connection one after another.
 #[derive(Debug)]
 pub struct Reader {
     kind: MessageKind,
     stage: Stage,
     head: Option<Head>,
     body: Option<Buf>,
-    /// Bytes of the next data that were read before a buffer was missing.
+    /// Bytes of the data passed next that were already read when no buffer was free.
     resume_at: usize,
     trailer_bytes: usize,
 }
@@ -43,24 +43,24 @@
         self.head.as_ref()
     }
 
-    /// The part of the body that is read and not consumed.
+    /// The part of the body that was read and not consumed.
     pub fn body(&self) -> &[u8] {
         self.body.as_ref().map_or(&[], |b| b.data())
     }
 
-    /// Drops bytes from the start of the body, where it is read as it comes.
+    /// Drops `n` bytes from the start of the body, for a caller that processes a body as it arrives.
     pub fn consume_body(&mut self, n: usize) {
         if let Some(b) = &mut self.body {
             b.consume(n);
         }
     }
 
-    /// Whether the message is whole.
+    /// Whether the message is complete.
     pub fn is_done(&self) -> bool {
         self.stage == Stage::Done
     }
 
-    /// Whether the head of the next message is not read yet.
+    /// Whether the head of the next message has not been read.
     pub fn is_idle(&self) -> bool {
         self.stage == Stage::Head
     }
@@ -70,7 +70,8 @@
         *self = Reader::new(self.kind);
     }
 
-    /// The connection has ended. Returns whether the message is whole, as one without a length is now.
+    /// Handles the end of the connection's input, which completes a body without a length. Returns whether
+    /// the message is complete.
     pub fn on_eof(&mut self) -> bool {
         if self.stage == Stage::UntilClose {
             self.stage = Stage::Done;
@@ -78,13 +79,13 @@
         self.is_done()
     }
 
-    /// Reads on in `data` and returns how many of its bytes were used. What is left belongs to the next
-    /// message or must be given again with more behind it.
+    /// Reads from `data` and returns how many of its bytes were used. The rest belongs to the next message,
+    /// or has to be passed again with more data appended.
     ///
     /// # Errors
     ///
-    /// After [`HttpError::NoBuffer`] the same data may be given again; after any other error the message
-    /// can't be read on.
+    /// After [`HttpError::NoBuffer`] the same data may be passed again; after any other error the message
+    /// can't be read further.
     pub fn advance(&mut self, data: &[u8], pool: &Pool) -> Result<usize, HttpError> {
         let mut used = std::mem::take(&mut self.resume_at);
         loop {
@@ -92,20 +93,21 @@
             let n = match self.stage {
                 Stage::Done => return Ok(used),
                 Stage::Head => self.read_head(rest)?,
-                Stage::Length(0) => {
+                Stage::SizedBody(0) => {
                     self.stage = Stage::Done;
                     continue;
                 }
-                Stage::Length(left) => {
-                    let n = self.read_body(&rest[..rest.len().min(left)], pool, used)?;
-                    self.stage = Stage::Length(left - n);
+                Stage::SizedBody(remaining) => {
+                    let n = self.read_body(&rest[..rest.len().min(remaining)], pool, used)?;
+                    self.stage = Stage::SizedBody(remaining - n);
                     n
                 }
                 Stage::UntilClose => self.read_body(rest, pool, used)?,
                 Stage::ChunkSize => self.read_chunk_size(rest)?,
-                Stage::Chunk(left) => {
-                    let n = self.read_body(&rest[..rest.len().min(left)], pool, used)?;
-                    self.stage = if left == n { Stage::ChunkEnd } else { Stage::Chunk(left - n) };
+                Stage::ChunkData(remaining) => {
+                    let n = self.read_body(&rest[..rest.len().min(remaining)], pool, used)?;
+                    self.stage =
+                        if remaining == n { Stage::ChunkEnd } else { Stage::ChunkData(remaining - n) };
                     n
                 }
                 Stage::ChunkEnd => match rest {
@@ -114,11 +116,11 @@
                         2
                     }
                     [] | [b'\r'] => 0,
-                    _ => return Err(HttpError::Malformed("no line end after a chunk")),
+                    _ => return Err(HttpError::Malformed("no CRLF after a chunk")),
                 },
                 Stage::Trailer => self.read_trailer(rest)?,
             };
-            if n == 0 && self.stage != Stage::Done && !matches!(self.stage, Stage::Length(0)) {
+            if n == 0 && self.stage != Stage::Done && !matches!(self.stage, Stage::SizedBody(0)) {
                 return Ok(used);
             }
             used += n;
@@ -126,14 +128,14 @@
     }
 
     fn read_head(&mut self, data: &[u8]) -> Result<usize, HttpError> {
-        // Empty lines before a request are skipped.
+        // Skips empty lines before a request.
         if self.kind == MessageKind::Request && data.starts_with(b"\r\n") {
             return Ok(2);
         }
         let Some(parsed) = parse_head(self.kind, data)? else { return Ok(0) };
         self.stage = match parsed.framing {
             BodyFraming::None => Stage::Done,
-            BodyFraming::Length(length) => Stage::Length(length),
+            BodyFraming::Length(length) => Stage::SizedBody(length),
             BodyFraming::Chunked => Stage::ChunkSize,
             BodyFraming::UntilClose => Stage::UntilClose,
         };
@@ -141,7 +143,8 @@
         Ok(parsed.size)
     }
 
-    /// Without a buffer it fails; the same data may be given once more when one is free.
+    /// Fails if no buffer is free; the same data may be passed again once one is. `before` is the number of
+    /// bytes used before this call.
     fn read_body(&mut self, data: &[u8], pool: &Pool, before: usize) -> Result<usize, HttpError> {
         if data.is_empty() {
             return Ok(0);
@@ -166,18 +169,19 @@
         match httparse::parse_chunk_size(data) {
             Ok(httparse::Status::Complete((n, size))) => {
                 let size = usize::try_from(size).unwrap_or(usize::MAX);
-                // A stream of small chunks may go on for ever; a body in one buffer may not.
+                // A chunked body that is consumed as it arrives may be of any length, but each chunk has to
+                // fit in one buffer.
                 if size > MAX_BODY {
                     return Err(HttpError::TooLarge);
                 }
-                self.stage = if size == 0 { Stage::Trailer } else { Stage::Chunk(size) };
+                self.stage = if size == 0 { Stage::Trailer } else { Stage::ChunkData(size) };
                 Ok(n)
             }
             Ok(httparse::Status::Partial) if data.len() > MAX_CHUNK_SIZE_LINE => {
-                Err(HttpError::Malformed("a bad chunk size"))
+                Err(HttpError::Malformed("invalid chunk size"))
             }
             Ok(httparse::Status::Partial) => Ok(0),
-            Err(_) => Err(HttpError::Malformed("a bad chunk size")),
+            Err(_) => Err(HttpError::Malformed("invalid chunk size")),
         }
     }
 
--- a/src/http/response.rs
+++ b/src/http/response.rs
@@ -1,8 +1,8 @@
-//! Writing of responses.
+//! Formatting of responses.
 
 use crate::api::Nanos;
 
-/// Writes a whole response with its `Content-Length`.
+/// Formats a whole response, with its `Content-Length`.
 pub fn response(status: u16, headers: &[(&str, &str)], keep_alive: bool, body: &[u8]) -> Vec<u8> {
     let mut out =
         format!("HTTP/1.1 {status} {}\r\nContent-Length: {}\r\n", reason_phrase(status), body.len());
@@ -15,8 +15,8 @@
     out
 }
 
-/// Writes a response 503 that closes the connection, with `Retry-After` for `wait` nanoseconds unless that is
-/// 0.
+/// Formats a response 503 that closes the connection, with a `Retry-After` of `wait` nanoseconds unless
+/// `wait` is 0.
 pub fn service_unavailable(wait: Nanos) -> Vec<u8> {
     let text = retry_after(wait);
     let headers: &[(&str, &str)] = if wait > 0 { &[("Retry-After", &text)] } else { &[] };
