--- a/tests/links.rs
+++ b/tests/links.rs
@@ -1,4 +1,4 @@
-//! Connections whose poll loop is driven by the test: what comes between a poll and a call.
+//! Connections of a poll loop that the test drives, including events between a poll and a call.
 
 mod common;
 use common::{MS, S, line, settings};
@@ -32,7 +32,7 @@
         UpstreamBench { clock, net: PollLoop::new(Pool::new(16), 16).unwrap(), engine, upstream }
     }
 
-    /// Takes a query, and has its call written or its connection dialled; the poll is not asked.
+    /// Submits a query, and writes its call or dials its connection, without polling for events.
     fn submit_until_called(&mut self, id: &str) {
         let payload = Rc::new(RequestContext { id: id.into(), text: "t".into() });
         let parts = vec![PartRequest { shard: 0, weight: 1.0, work: None }];
@@ -51,13 +51,13 @@
         }
     }
 
-    /// A round and its work: whether a call was among it.
+    /// Advances the engine and executes its actions. Returns whether a call was among them.
     fn run_round(&mut self) -> bool {
         let now = self.clock.now();
         self.engine.advance(now);
         let mut called = false;
-        while let Some(work) = self.engine.next_action() {
-            if let EngineAction::Call { replica, parts } = work {
+        while let Some(action) = self.engine.next_action() {
+            if let EngineAction::Call { replica, parts } = action {
                 let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
                 self.upstream.call(replica, parts, &mut context);
                 called = true;
@@ -66,12 +66,12 @@
         called
     }
 
-    /// Polls until this holds.
+    /// Polls until `condition` holds.
     fn poll_until(&mut self, condition: impl Fn(&UpstreamBench) -> bool) {
         let mut events = Vec::new();
         while !condition(self) {
             self.net.wait(Some(TIMEOUT), &mut events).unwrap();
-            assert!(!events.is_empty(), "nothing came");
+            assert!(!events.is_empty(), "no event within the time-out");
             let now = self.clock.now();
             let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
             events.drain(..).for_each(|e| self.upstream.event(e, &mut context));
@@ -79,7 +79,7 @@
     }
 }
 
-fn frame(stream: &mut TcpStream) -> String {
+fn read_frame(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut length = [0; 4];
     stream.read_exact(&mut length).unwrap();
@@ -88,8 +88,8 @@
     String::from_utf8(frame).unwrap()
 }
 
-/// The server closes a resting connection after the poll was asked and before a call is written on it: that
-/// call must not go where it is lost, since parts of such a class may not be sent again.
+/// The server closes an idle connection after the last poll and before a call is written on it. The call must
+/// not be written there: it would be lost, and parts of a non-idempotent class may not be sent again.
 #[test]
 fn a_call_is_not_written_on_a_connection_that_its_server_closed_since_the_last_poll() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -98,20 +98,20 @@
     bench.submit_until_called("first");
     let (mut conn, _) = listener.accept().unwrap();
     bench.poll_until(|b| b.engine.metrics().attempts() == 1);
-    assert!(frame(&mut conn).starts_with("Rfirst.0 "));
+    assert!(read_frame(&mut conn).starts_with("Rfirst.0 "));
     let body = "Yfirst.0 OK 1 -\nvalue";
     conn.write_all(&[&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat()).unwrap();
     bench.poll_until(|b| b.engine.attempts_in_flight() == 0);
     drop(conn);
     bench.submit_until_called("second");
-    let (mut conn, _) = listener.accept().expect("the call went where nobody reads");
+    let (mut conn, _) = listener.accept().expect("the call was written on the closed connection");
     bench.poll_until(|b| b.engine.metrics().attempts() == 2);
-    assert!(frame(&mut conn).starts_with("Rsecond.0 "));
-    assert_eq!(bench.engine.attempts_in_flight(), 1, "the call that was written is in flight");
+    assert!(read_frame(&mut conn).starts_with("Rsecond.0 "));
+    assert_eq!(bench.engine.attempts_in_flight(), 1, "only the second call is in flight");
 }
 
-/// A connection that was accepted, and its peer.
-fn accepted(net: &mut PollLoop) -> (ConnId, TcpStream) {
+/// An accepted connection and its peer.
+fn accept_connection(net: &mut PollLoop) -> (ConnId, TcpStream) {
     let addr = net.listen("127.0.0.1:0".parse().unwrap(), 0).unwrap();
     let peer = TcpStream::connect(addr).unwrap();
     let mut events = Vec::new();
@@ -125,58 +125,58 @@
     }
 }
 
-/// A peer that reads nothing must not keep its place and buffers: time is told here, and nothing is waited
-/// for.
+/// A lingering peer that reads nothing must not occupy a connection and buffers. The test passes in the
+/// time and does not wait.
 #[test]
 fn a_lingering_peer_that_never_reads_is_closed_after_the_timeout() {
     let mut net = PollLoop::new(Pool::new(64), 16).unwrap();
-    let (conn, peer) = accepted(&mut net);
-    // More than both systems hold: the rest stands in buffers.
+    let (conn, peer) = accept_connection(&mut net);
+    // More than the socket buffers of both ends hold: the rest stays in the output queue.
     while net.is_flushed(conn) {
         net.send(conn, &[b'm'; 64 * 1024]).unwrap();
     }
     net.close_lingering(conn, 0);
     net.tick(2 * S);
-    assert!(net.is_open(conn), "it may still read");
+    assert!(net.is_open(conn), "the peer may still read");
     net.tick(3 * S);
     assert!(!net.is_open(conn) && net.accepted() == 0 && net.pool().in_use() == 0);
     drop(peer);
 }
 
-/// A peer that does not close leaves the broker in peace: the poll waits, and does not spin until the peer's
-/// time is over.
+/// A lingering connection whose peer does not close must not make the poll spin until the linger time-out.
 #[test]
 fn a_lingering_connection_does_not_wake_the_poll() {
     let mut net = PollLoop::new(Pool::new(16), 16).unwrap();
-    let (conn, peer) = accepted(&mut net);
+    let (conn, peer) = accept_connection(&mut net);
     let mut events = Vec::new();
     net.send(conn, b"the last message").unwrap();
     net.close_lingering(conn, 0);
-    // The end itself may wake it, and what came before: not without end.
-    let waits = (0..100).any(|_| {
+    // The shutdown and earlier events may wake the poll a few times, but not repeatedly.
+    let has_waited = (0..100).any(|_| {
         let since = Instant::now();
         net.wait(Some(Duration::from_millis(100)), &mut events).unwrap();
         since.elapsed() >= Duration::from_millis(100)
     });
-    assert!(waits, "the poll returns at once, again and again");
-    assert!(net.is_open(conn), "it lingers until its time is over");
+    assert!(has_waited, "the poll keeps returning at once");
+    assert!(net.is_open(conn), "it lingers until its time-out");
     drop(peer);
 }
 
-/// A message that the system takes nothing of must not stand in the queue, where it would begin whenever the peer reads
-/// again, whatever its owner has learnt by then. An event says when it may be offered anew.
+/// An offered message of which the socket accepts nothing must not be queued: it would be sent once the peer
+/// reads again, even if its owner has meanwhile found that it must not be. An event reports when it may be
+/// offered again.
 #[test]
-fn a_message_that_can_not_begin_is_not_queued_and_is_awaited() {
+fn an_offered_message_that_would_block_is_not_queued_and_an_event_follows() {
     let mut net = PollLoop::new(Pool::new(16), 16).unwrap();
-    let (conn, mut peer) = accepted(&mut net);
-    // Of one byte the system takes all or nothing.
+    let (conn, mut peer) = accept_connection(&mut net);
+    // One byte can't be accepted in part.
     let offers = (0..64 << 20).map(|_| net.offer(conn, b"x").unwrap());
     let taken = offers.take_while(|offer| *offer == Offer::Begun).count() as u64;
-    assert_eq!((net.queued(conn), net.flushed(conn)), (taken, taken), "nothing waits to be written");
+    assert_eq!((net.queued(conn), net.flushed(conn)), (taken, taken), "nothing is queued");
     let mut events = Vec::new();
     let start = Instant::now();
     while !events.iter().any(|e| matches!(e, NetEvent::Flushed { conn: flushed, .. } if *flushed == conn)) {
-        assert!(start.elapsed() < TIMEOUT, "no event");
+        assert!(start.elapsed() < TIMEOUT, "no event within the time-out");
         let _ = peer.read(&mut [0; 1 << 20]).unwrap();
         net.wait(Some(Duration::from_millis(1)), &mut events).unwrap();
     }
