--- a/src/cluster/error.rs
+++ b/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Errors of operators' commands to the cluster.
+//! Errors of operators' commands to a cluster.
 
 #![deny(
     missing_docs,
@@ -13,10 +13,10 @@
 /// Why an operator's command was not recorded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// An earlier process still has this broker's directory, or the journal is still being read.
+    /// An earlier process still has the lock of this broker's directory, or the journal is still being read.
     #[error("the cluster's facts are not here yet; say it again in a moment")]
     NotReady,
-    /// The replicated state rejected it.
+    /// The replicated store rejected it.
     #[error("{0}")]
     Rejected(#[source] JoinError),
 }
--- a/src/cluster/sockets.rs
+++ b/src/cluster/sockets.rs
@@ -8,15 +8,15 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Size of a buffer for frames of peers.
+/// Size of a buffer for frames of peers, bytes.
 const BUFFER_BYTES: usize = 64 * 1024;
 /// Most buffers for frames of peers.
 const MAX_BUFFERS: usize = 32;
-/// Most datagrams taken in one turn; the rest waits for the next.
+/// Most datagrams that are received in one turn of the poll loop; the rest stay for the next.
 const MAX_DATAGRAMS_PER_TURN: usize = 16;
-/// Most frames taken from one connection in one turn.
+/// Most frames that are read from one connection in one turn of the poll loop.
 const MAX_FRAMES_PER_TURN: usize = 4;
-/// Time between two attempts to bind addresses that an earlier process still has, ns.
+/// Time between two attempts to bind an address that an earlier process still uses, ns.
 pub(super) const BIND_RETRY_INTERVAL: Nanos = 200_000_000;
 
 /// The bound sockets, and the connections by the node's stream ids.
@@ -34,7 +34,7 @@
             return;
         }
         self.next_bind_at = now + BIND_RETRY_INTERVAL;
-        // Nobody else comes to this port but a process before this one: both sockets are had, or neither.
+        // Only an earlier process of this broker may use this port, and it holds both sockets or neither.
         let datagrams = match net.datagrams(self.listen, OWNER) {
             Ok(datagrams) => datagrams,
             Err(e) if std::mem::replace(&mut self.bind_failure_logged, true) => {
@@ -60,7 +60,7 @@
         tracing::info!("cluster: peers reach this broker at {}", self.listen);
     }
 
-    /// Takes in what happened on one of its sockets.
+    /// Handles an event of one of the cluster's sockets.
     pub fn on_event(&mut self, event: NetEvent, now: Nanos, net: &mut PollLoop) {
         let (Some(sockets), Some(member)) = (&mut self.sockets, &mut self.node) else { return };
         match event {
@@ -119,7 +119,7 @@
                 return net.requeue_readable(conn);
             }
             let filled = net.fill(conn);
-            // A length that can't be is a frame that can't be read: the member says what follows.
+            // An invalid length is passed on as an invalid frame: the gossip node decides what follows.
             let end = match frame_end(net.data(conn)) {
                 Ok(Some(end)) => end,
                 Ok(None) if filled == ReadOutcome::Closed => {
@@ -138,23 +138,23 @@
         }
     }
 
-    /// Sends what the member wants sent, and tells people what it tells.
+    /// Carries out the outputs of the gossip node, and logs its notifications.
     pub(super) fn perform_outputs(&mut self, now: Nanos, net: &mut PollLoop) {
         let Some(member) = &mut self.node else { return };
-        while let Some(told) = member.take_notification() {
-            status_report::log_notification(&told, member);
+        while let Some(notification) = member.take_notification() {
+            status_report::log_notification(&notification, member);
         }
         let Some(sockets) = &mut self.sockets else {
-            // Without its address it reaches nobody: what it would send must not add up until it has it.
-            while let Some(out) = member.take_output() {
-                if let Output::Dial { stream, .. } = out {
+            // Nothing can be sent before the address is bound: outputs are dropped, so as not to accumulate.
+            while let Some(output) = member.take_output() {
+                if let Output::Dial { stream, .. } = output {
                     member.on_closed(stream, now);
                 }
             }
             return;
         };
-        while let Some(out) = member.take_output() {
-            match out {
+        while let Some(output) = member.take_output() {
+            match output {
                 Output::Datagram { to, bytes } => net.send_datagram(sockets.datagrams, to, &bytes),
                 Output::Dial { stream, to } => match net.dial_with_pool(to, OWNER, sockets.pool.clone()) {
                     Ok(conn) => {
--- a/src/cluster/status_report.rs
+++ b/src/cluster/status_report.rs
@@ -1,20 +1,19 @@
-//! What people are told of a cluster: log lines, and the answers to calls.
+//! The log lines of a cluster, and its reports to operators.
 
 use super::Cluster;
 use crate::api::Nanos;
 use crate::gossip::swim::PeerStatus;
 use crate::gossip::{GossipNode, Notification, SyncStatus};
-
 use crate::replication::{FactKey, FactValue, Register, StateStore, StoreLimits};
 use serde_json::{Value, json};
 
-/// Most things that an answer names, and their bytes: what the second address holds for one caller. How many
-/// there are stands beside them.
-const MOST: (usize, usize) = (200, 64 * 1024);
+/// Most entries that a report lists, and their total size in bytes: what the admin endpoint buffers for one
+/// caller. The report also has the number of all entries.
+const REPORT_LIMITS: (usize, usize) = (200, 64 * 1024);
 
-/// One log line.
-pub fn log_notification(told: &Notification, member: &GossipNode) {
-    match told {
+/// Logs a notification of the gossip node.
+pub fn log_notification(notification: &Notification, member: &GossipNode) {
+    match notification {
         Notification::PeerUp(name) => tracing::info!("cluster: {name} is up"),
         Notification::PeerSuspected(name) => tracing::info!("cluster: {name} does not answer"),
         Notification::PeerDown(name) => tracing::warn!("cluster: {name} is down"),
@@ -27,7 +26,9 @@
                 ns / 1_000_000
             );
         }
-        Notification::Dropped(why, from) => tracing::warn!("cluster: not listened to at {from}: {why}"),
+        Notification::Dropped(reason, from) => {
+            tracing::warn!("cluster: not listened to at {from}: {reason}")
+        }
         Notification::CaughtUp(name) => tracing::info!(
             "cluster: caught up with {name}: {} facts, digest {:016x}",
             member.store().len(),
@@ -42,7 +43,9 @@
         Notification::RemovedFromCluster => {
             tracing::error!("cluster: this broker was removed by hand and tells its peers nothing more")
         }
-        Notification::FactsReceived(n) => tracing::info!("cluster: {n} words came that were missed here"),
+        Notification::FactsReceived(n) => {
+            tracing::info!("cluster: {n} words came that were missed here")
+        }
         Notification::FactChanged(key) => match member.store().register(key) {
             Some(r) => tracing::info!("cluster: {key} is now {}", describe_register(r)),
             None => tracing::info!("cluster: {key} is forgotten"),
@@ -51,73 +54,84 @@
 }
 
 fn describe_register(register: &Register) -> String {
-    let one = |(dot, s): (crate::replication::Dot, &crate::replication::OperatorCommand)| {
-        format!("{} by {:?} at {} as {dot}", s.value.label(), s.author, s.broker)
+    let describe = |(dot, command): (crate::replication::Dot, &crate::replication::OperatorCommand)| {
+        format!("{} by {:?} at {} as {dot}", command.value.label(), command.author, command.broker)
     };
-    let all: Vec<String> = register.commands().map(one).collect();
-    if all.is_empty() { "nothing".into() } else { all.join(", and ") }
+    let descriptions: Vec<String> = register.commands().map(describe).collect();
+    if descriptions.is_empty() { "nothing".into() } else { descriptions.join(", and ") }
 }
 
-/// The words on a key, for scripts.
+/// The commands on a key, as JSON.
 pub fn register_report(key: &FactKey, register: &Register, now: Nanos) -> Value {
-    let said = |(dot, s): (crate::replication::Dot, &crate::replication::OperatorCommand)| {
+    let command_report = |(dot, command): (crate::replication::Dot, &crate::replication::OperatorCommand)| {
         json!({
-            "says": s.value.label(), "by": s.author, "why": s.reason, "at_broker": s.broker,
-            "at_ms": s.issued_at / 1_000_000, "until_ms": s.expires_at.map(|t| t / 1_000_000), "stamp": dot.to_string(),
+            "says": command.value.label(), "by": command.author, "why": command.reason,
+            "at_broker": command.broker, "at_ms": command.issued_at / 1_000_000,
+            "until_ms": command.expires_at.map(|t| t / 1_000_000), "stamp": dot.to_string(),
         })
     };
     json!({
         "of": key.to_string(), "out": register.is_set(now), "conflict": register.has_conflict(now),
-        "words": register.commands().map(said).collect::<Vec<_>>(),
+        "words": register.commands().map(command_report).collect::<Vec<_>>(),
     })
 }
 
-/// Words of a copy, for scripts, in the order of their keys: how many there are, and as many of them as fit.
+/// The registers of a store as JSON, in the order of their keys: their number, and as many of them as the
+/// limits permit.
 fn register_reports(
-    copy: &StateStore,
+    store: &StateStore,
     now: Nanos,
-    most: (usize, usize),
-    shown: impl Fn(&FactKey) -> bool,
+    limits: (usize, usize),
+    is_included: impl Fn(&FactKey) -> bool,
 ) -> (usize, Vec<Value>) {
-    let mut all: Vec<(&FactKey, &Register)> = copy.registers().filter(|(k, _)| shown(k)).collect();
-    all.sort_by_key(|(key, _)| *key);
-    let (n, mut bytes) = (all.len(), 0);
-    let mut values = Vec::new();
-    for (key, r) in all.into_iter().take(most.0) {
-        let value = register_report(key, r, now);
-        bytes += value.to_string().len();
-        if bytes > most.1 {
+    let mut registers: Vec<(&FactKey, &Register)> =
+        store.registers().filter(|(key, _)| is_included(key)).collect();
+    registers.sort_by_key(|(key, _)| *key);
+    let (count, mut bytes) = (registers.len(), 0);
+    let mut reports = Vec::new();
+    for (key, register) in registers.into_iter().take(limits.0) {
+        let report = register_report(key, register, now);
+        bytes += report.to_string().len();
+        if bytes > limits.1 {
             break;
         }
-        values.push(value);
+        reports.push(report);
     }
-    (n, values)
+    (count, reports)
 }
 
-/// A copy, for `state show`.
-pub fn store_report(copy: &StateStore, now: Nanos) -> Value {
-    let (n, words) = register_reports(copy, now, (usize::MAX, usize::MAX), |_| true);
-    json!({ "digest": format!("{:016x}", copy.tree().root()), "facts": copy.len(), "words": n, "first": words })
+/// The report on a store for `state show`.
+pub fn store_report(store: &StateStore, now: Nanos) -> Value {
+    let (count, reports) = register_reports(store, now, (usize::MAX, usize::MAX), |_| true);
+    json!({
+        "digest": format!("{:016x}", store.tree().root()), "facts": store.len(),
+        "words": count, "first": reports,
+    })
 }
 
-/// On what two copies differ, for `state diff`, and whether they do.
-pub fn difference_report(copy: &StateStore, other: Option<&StateStore>, now: Nanos) -> (Value, bool) {
-    let nothing = StateStore::new(copy.origin(), StoreLimits::default());
-    let other = other.unwrap_or(&nothing);
-    let mut all: Vec<(String, Value)> = Vec::new();
-    for (side, one, two) in [("first", copy, other), ("second", other, copy)] {
-        for (key, entry) in one.facts().filter(|(key, entry)| two.get(key) != Some(*entry)) {
-            let mut shown = match entry {
+/// The report on the differences between two stores for `state diff`, and whether there are any.
+pub fn difference_report(store: &StateStore, other: Option<&StateStore>, now: Nanos) -> (Value, bool) {
+    let empty = StateStore::new(store.origin(), StoreLimits::default());
+    let other = other.unwrap_or(&empty);
+    let mut differences: Vec<(String, Value)> = Vec::new();
+    for (side, this_side, that_side) in [("first", store, other), ("second", other, store)] {
+        for (key, entry) in this_side.facts().filter(|(key, entry)| that_side.get(key) != Some(*entry)) {
+            let mut report = match entry {
                 FactValue::Commands(r) => register_report(key, r, now),
                 _ => json!({ "of": key.to_string() }),
             };
-            shown["of"] = format!("{side}: {key}").into();
-            all.push((key.to_string() + side, shown));
+            report["of"] = format!("{side}: {key}").into();
+            differences.push((key.to_string() + side, report));
         }
     }
-    all.sort_by(|a, b| a.0.cmp(&b.0));
-    let differs = !all.is_empty();
-    (json!({ "facts": all.len(), "first": all.into_iter().map(|(_, v)| v).collect::<Vec<_>>() }), differs)
+    differences.sort_by(|a, b| a.0.cmp(&b.0));
+    let differs = !differences.is_empty();
+    (
+        json!({
+            "facts": differences.len(), "first": differences.into_iter().map(|(_, v)| v).collect::<Vec<_>>(),
+        }),
+        differs,
+    )
 }
 
 impl Cluster {
@@ -131,7 +145,7 @@
         }
     }
 
-    /// Who the peers are and who is up.
+    /// The report on the peers and their status.
     pub fn peers_report(&self, now: Nanos, longest_turn: Nanos) -> Value {
         let mut peers = Vec::new();
         let mut dropped = serde_json::Map::new();
@@ -143,8 +157,11 @@
                     PeerStatus::Down if peer.since_last_received.is_none() => "never heard of",
                     PeerStatus::Down => "down",
                 };
-                let heard = peer.since_last_received.map(|t| t / 1_000_000);
-                peers.push(json!({ "name": peer.name, "address": peer.address.to_string(), "is": status, "same_copy": peer.is_in_sync, "heard_ms_ago": heard }));
+                let since_received = peer.since_last_received.map(|t| t / 1_000_000);
+                peers.push(json!({
+                    "name": peer.name, "address": peer.address.to_string(), "is": status,
+                    "same_copy": peer.is_in_sync, "heard_ms_ago": since_received,
+                }));
             }
             dropped.extend(member.drop_counts().map(|(why, n)| (why.to_string(), n.into())));
         }
@@ -157,23 +174,23 @@
         })
     }
 
-    /// What is known.
+    /// The report on the replicated state.
     pub fn state_report(&self, now: Nanos) -> Value {
         let Some(member) = &self.node else { return json!({ "standing": self.readiness() }) };
-        let copy = member.store();
-        let (n, words) = register_reports(copy, now, MOST, |_| true);
-        let kept = member.is_persisted() && self.writes_in_flight.is_empty();
+        let store = member.store();
+        let (count, reports) = register_reports(store, now, REPORT_LIMITS, |_| true);
+        let is_on_disk = member.is_persisted() && self.writes_in_flight.is_empty();
         json!({
-            "standing": self.readiness(), "digest": format!("{:016x}", copy.tree().root()), "facts": copy.len(),
-            "on_disk": kept, "words": n, "first": words,
+            "standing": self.readiness(), "digest": format!("{:016x}", store.tree().root()),
+            "facts": store.len(), "on_disk": is_on_disk, "words": count, "first": reports,
         })
     }
 
-    /// On what words that know nothing of each other differ.
+    /// The report on keys with concurrent commands that contradict each other.
     pub fn conflicts_report(&self, now: Nanos) -> Value {
         let Some(member) = &self.node else { return json!({ "standing": self.readiness() }) };
-        let conflict = |key: &FactKey| member.derived_state().conflicts.contains(key);
-        let (n, first) = register_reports(member.store(), now, MOST, conflict);
-        json!({ "conflicts": n, "first": first })
+        let in_conflict = |key: &FactKey| member.derived_state().conflicts.contains(key);
+        let (count, reports) = register_reports(member.store(), now, REPORT_LIMITS, in_conflict);
+        json!({ "conflicts": count, "first": reports })
     }
 }
