--- a/src/cluster/error.rs
+++ b/src/cluster/error.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
     /// An earlier process still has the lock of this broker's directory, or the journal is still being read.
-    #[error("the cluster's facts are not here yet; say it again in a moment")]
+    #[error("the cluster's state is not loaded yet; retry in a moment")]
     NotReady,
     /// The replicated store rejected it.
     #[error("{0}")]
--- a/src/cluster/mod.rs
+++ b/src/cluster/mod.rs
@@ -132,7 +132,10 @@
         match contents {
             Some(contents) => cluster.start_node(contents, now),
             None => {
-                tracing::info!("cluster: another process has {}; its place is taken later", cluster.directory)
+                tracing::info!(
+                    "cluster: {} is locked by another process or still being read; this broker joins later",
+                    cluster.directory
+                )
             }
         }
         cluster.try_bind(now, net);
@@ -141,17 +144,17 @@
 
     fn start_node(&mut self, contents: Result<JournalContents, FileError>, now: Nanos) {
         let contents = contents.unwrap_or_else(|error| {
-            tracing::error!("cluster: nothing can be kept: {error}");
+            tracing::error!("cluster: facts can't be stored: {error}");
             JournalContents::default()
         });
         if !contents.problems.is_empty() {
             let problems: Vec<String> = contents.problems.iter().map(ToString::to_string).collect();
-            tracing::error!("cluster: not used: {}", problems.join("; "));
+            tracing::error!("cluster: stored data was not used: {}", problems.join("; "));
         }
         let (settings, origin) = (&self.settings, Origin(random_seed() ^ now.rotate_left(17)));
         let incarnation = (contents.incarnation + 1).max(now / 1_000_000);
         tracing::info!(
-            "cluster {}: {} of {} peers as {origin}, {} facts on disk",
+            "cluster {}: member {} with {} peers and origin {origin}, {} facts on disk",
             settings.cluster,
             settings.name,
             settings.peers.len(),
@@ -208,7 +211,7 @@
             expires_at: expiry,
         };
         let dot = member.record(&key, command, now).map_err(CommandError::Rejected)?;
-        tracing::info!("cluster: {key} is said to be {label} here as {dot}");
+        tracing::info!("cluster: command {label} on {key} is recorded here as {dot}");
         self.pending_commands.push(PendingCommand { caller, key, success: confirmation, ticket: None });
         Ok(())
     }
--- a/src/cluster/persistence.rs
+++ b/src/cluster/persistence.rs
@@ -57,7 +57,7 @@
                 Err(error) => {
                     // Logged once for each run of failures: a full disk stays full.
                     if !std::mem::replace(&mut self.writes_failing, true) {
-                        tracing::error!("cluster: facts can't be kept: {error}; serving goes on");
+                        tracing::error!("cluster: facts can't be kept on disk: {error}; serving continues");
                     }
                     let failure = |c: PendingCommand| {
                         (c.caller, Err(format!("{}: it holds here, and is not on disk: {error}", c.key)))
@@ -74,7 +74,10 @@
         if self.journal.has_stopped() {
             self.next_write_at = now + WRITE_RETRY_INTERVAL;
             let failure = |c: PendingCommand| {
-                (c.caller, Err(format!("{}: it holds here, and nothing can be kept on disk", c.key)))
+                (
+                    c.caller,
+                    Err(format!("{}: it holds here, and is not on disk: the journal has stopped", c.key)),
+                )
             };
             self.replies.extend(self.pending_commands.drain(..).map(failure));
             return;
--- a/src/cluster/reload.rs
+++ b/src/cluster/reload.rs
@@ -34,7 +34,7 @@
             return tracing::error!("cluster: the peers stay as they were: the file names another cluster");
         };
         self.settings.peers = cluster.peers.iter().map(|p| (p.name.clone(), p.address)).collect();
-        tracing::info!("cluster: file read again: {} peers", cluster.peers.len());
+        tracing::info!("cluster: operator's file was reloaded: {} peers", cluster.peers.len());
         if let Some(member) = &mut self.node {
             member.set_peers(&self.settings.peers, now);
         }
--- a/src/cluster/sockets.rs
+++ b/src/cluster/sockets.rs
@@ -41,7 +41,7 @@
                 return tracing::debug!("cluster: {e}");
             }
             Err(e) => {
-                return tracing::warn!("cluster: {} can't be taken yet: {e}; it is tried again", self.listen);
+                return tracing::warn!("cluster: address {} can't be taken yet: {e}; retrying", self.listen);
             }
         };
         let pool = Pool::with_buffer_size(MAX_BUFFERS, BUFFER_BYTES);
--- a/src/cluster/status_report.rs
+++ b/src/cluster/status_report.rs
@@ -18,16 +18,16 @@
         Notification::PeerSuspected(name) => tracing::info!("cluster: {name} does not answer"),
         Notification::PeerDown(name) => tracing::warn!("cluster: {name} is down"),
         Notification::Refuted => {
-            tracing::info!("cluster: others took this broker for gone; it says that it is not")
+            tracing::info!("cluster: peers reported this broker as suspect or down; this was refuted")
         }
         Notification::Stalled(ns) => {
             tracing::warn!(
-                "cluster: this process did not run for {} ms; that time counts for nobody",
+                "cluster: this process did not run for {} ms; that time is not counted against any peer",
                 ns / 1_000_000
             );
         }
         Notification::Dropped(reason, from) => {
-            tracing::warn!("cluster: not listened to at {from}: {reason}")
+            tracing::warn!("cluster: input from {from} was dropped: {reason}")
         }
         Notification::CaughtUp(name) => tracing::info!(
             "cluster: caught up with {name}: {} facts, digest {:016x}",
@@ -35,20 +35,24 @@
             member.store().tree().root()
         ),
         Notification::Isolated => {
-            tracing::warn!("cluster: no peer can be reached; this broker goes by what it has on disk")
+            tracing::warn!("cluster: no peer can be reached; this broker uses its own state")
         }
         Notification::OriginReplaced => {
-            tracing::error!("cluster: another process used this one's stamps; it has drawn others")
+            tracing::error!(
+                "cluster: another process used this one's origin; a new origin is used from now on"
+            )
         }
         Notification::RemovedFromCluster => {
-            tracing::error!("cluster: this broker was removed by hand and tells its peers nothing more")
+            tracing::error!(
+                "cluster: this broker was removed by hand; it sends nothing to its peers any more"
+            )
         }
         Notification::FactsReceived(n) => {
-            tracing::info!("cluster: {n} words came that were missed here")
+            tracing::info!("cluster: {n} facts that were missed here were received")
         }
         Notification::FactChanged(key) => match member.store().register(key) {
             Some(r) => tracing::info!("cluster: {key} is now {}", describe_register(r)),
-            None => tracing::info!("cluster: {key} is forgotten"),
+            None => tracing::info!("cluster: the commands on {key} were removed by garbage collection"),
         },
     }
 }
