--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The broker as a program.
+//! The `pebbleturn` program.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,7 +1,7 @@
-//! The metrics of a broker: counters since its start, and gauges of the moment.
+//! The metrics of a broker: counters since its start, and gauges of its current state.
 //!
-//! Each counter has one place where it is incremented: a query where its only final response is given, an
-//! attempt where the last byte of its frame is written. There is no I/O and no clock here.
+//! Each counter is incremented in one place: that of queries where the only final response is given, that of
+//! attempts where the last byte of the frame is written. This module does no I/O and reads no clock.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -12,7 +12,7 @@
 
 use serde_json::{Map, Value, json};
 
-/// The result of a query, as its client sees it.
+/// The result of a query, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryResult {
     /// It was answered, completely or in part.
@@ -42,19 +42,19 @@
     attempts: u64,
 }
 
-/// Gauges of the moment.
+/// Gauges of the current state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Queries that were accepted and have not ended.
     pub active: usize,
     /// Nodes in the endpoint list.
     pub pool_size: usize,
-    /// Those of them that get no work: suspended by an operator, or ejected as outliers.
+    /// Those of them that receive no work: suspended by an operator, or ejected as outliers.
     pub pool_ejected: usize,
 }
 
 impl Metrics {
-    /// Counters at 0 for this number of classes.
+    /// Creates counters, at 0, for this number of classes.
     pub fn new(classes: usize) -> Metrics {
         Metrics { classes: vec![QueryCounts::default(); classes], attempts: 0 }
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Counts attempts whose frames were written whole.
+    /// Counts attempts whose frames were written completely.
     pub fn record_attempts(&mut self, attempts: u64) {
         self.attempts += attempts;
     }
@@ -79,12 +79,12 @@
         &self.classes
     }
 
-    /// Attempts whose frames were written whole.
+    /// Attempts whose frames were written completely.
     pub fn attempts(&self) -> u64 {
         self.attempts
     }
 
-    /// One line of JSON. `class_names` are in the order of the classes.
+    /// The metrics as one line of JSON. `class_names` are in the order of the classes.
     pub fn to_json_line(&self, class_names: &[String], gauges: Gauges) -> String {
         let by_class = |count: fn(&QueryCounts) -> u64| -> Value {
             let by_name = class_names
--- a/src/storage/checksummed_file.rs
+++ b/src/storage/checksummed_file.rs
@@ -1,4 +1,4 @@
-//! The format of files that outlive a process.
+//! The file format of stored data.
 //!
 //! A file has one header line, with the name of the format, its version, and the length and CRC-32 of the
 //! body, and then the body as indented JSON, so that operators can read it. Decoding never panics: any bytes
@@ -15,15 +15,15 @@
 use serde::de::DeserializeOwned;
 use std::sync::Arc;
 
-/// Longest header line that is looked for, bytes.
+/// Longest header line that is accepted, bytes.
 const MAX_HEADER_BYTES: usize = 96;
 
-/// A format of files, in one version.
+/// One version of a file format.
 #[derive(Clone, Copy, Debug)]
 pub struct FileFormat {
-    /// The first word of the header; names the format.
+    /// The first word of the header, which identifies the format.
     pub magic: &'static str,
-    /// What such a file holds, for error messages.
+    /// What such a file contains, for error messages.
     pub description: &'static str,
     /// The version that is written, and the only one that is read.
     pub version: u32,
@@ -31,7 +31,7 @@
     pub max_bytes: usize,
 }
 
-/// Why a file can't be decoded, or a value not be encoded.
+/// Why a file can't be decoded, or a value can't be encoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FileFormatError {
     /// The file has no bytes.
@@ -40,7 +40,7 @@
     /// The file, or the value to be written, has this number of bytes, more than [`FileFormat::max_bytes`].
     #[error("it has {0} bytes, more than may be")]
     TooLarge(usize),
-    /// The header is not one of this format, whose [`FileFormat::description`] is given.
+    /// The header is not that of the expected format, whose [`FileFormat::description`] is given.
     #[error("it is no {0}")]
     UnknownFormat(&'static str),
     /// The header has another version than [`FileFormat::version`].
@@ -57,12 +57,12 @@
     /// The body or the header was changed after it was written.
     #[error("its checksum does not fit")]
     Checksum,
-    /// The body is intact and is not JSON of the expected type, or the value has no JSON form.
+    /// The body is intact but is not JSON of the expected type, or the value can't be represented as JSON.
     #[error("its body can't be read: {0}")]
     Body(#[source] BodyError),
 }
 
-/// An error of the JSON of a body. Two are equal if they print the same.
+/// A JSON error of a body. Two errors are equal if their messages are.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct BodyError(#[from] Arc<serde_json::Error>);
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// [`FileFormatError::TooLarge`] for more than [`FileFormat::max_bytes`], as nothing is truncated, and
-    /// [`FileFormatError::Body`] for a value that has no JSON form.
+    /// [`FileFormatError::Body`] for a value that can't be represented as JSON.
     pub fn encode(&self, value: &impl Serialize) -> Result<Vec<u8>, FileFormatError> {
         let mut body = serde_json::to_vec_pretty(value)?;
         body.push(b'\n');
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// The first of the reasons in [`FileFormatError`] that applies, in their order there.
+    /// The first variant of [`FileFormatError`] that applies, in the order of their declaration.
     pub fn decode<T: DeserializeOwned>(&self, bytes: &[u8]) -> Result<T, FileFormatError> {
         if bytes.is_empty() {
             return Err(FileFormatError::Empty);
@@ -127,7 +127,7 @@
         if header.body_len != body.len() {
             return Err(FileFormatError::Length { actual: body.len(), expected: header.body_len });
         }
-        // Compared as a whole line: this finds a changed byte anywhere in it, not only in the checksum.
+        // Comparing the whole line detects a changed byte anywhere in it, not only in the checksum.
         if self.header(header.version, body).as_bytes() != header.line {
             return Err(FileFormatError::Checksum);
         }
@@ -135,9 +135,9 @@
     }
 }
 
-/// The fields of a header line, but for the checksum.
+/// The fields of a header line, except the checksum.
 struct Header<'a> {
-    /// The whole line, its end included.
+    /// The whole line, including its end.
     line: &'a [u8],
     magic: &'a str,
     version: u32,
--- a/src/storage/error.rs
+++ b/src/storage/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// An operation of the file system that failed, and the file or directory that it was for.
+/// A failed operation of the file system, with the file or directory that it was applied to.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct FileError {
--- a/src/storage/file_system.rs
+++ b/src/storage/file_system.rs
@@ -1,15 +1,16 @@
-//! The operations on files that storage needs, as a trait, so that tests can let each of them fail.
+//! The file operations that storage needs, as a trait, so that tests can make each of them fail.
 
 use std::fs::File;
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::Path;
 
-/// Operations on files. All of them block; their errors are those of the operating system.
+/// File operations. All of them block; their errors are those of the operating system.
 pub trait FileSystem: Send + 'static {
     /// A lock on a file, released when this is dropped.
     type Lock: Send;
 
-    /// Reads a file. Of a longer file than `max_bytes`, reads `max_bytes + 1` bytes.
+    /// Reads a file, at most its first `max_bytes + 1` bytes: a result longer than `max_bytes` shows that the
+    /// file is too long.
     fn read(&self, path: &Path, max_bytes: usize) -> io::Result<Vec<u8>>;
     /// Creates or truncates a file, writes to it and syncs it to disk.
     fn write_synced(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
@@ -20,7 +21,7 @@
     /// Syncs the entries of a directory to disk.
     fn sync_dir(&self, dir: &Path) -> io::Result<()>;
     /// Takes an exclusive lock on a file, creating it if needed. Fails with [`ErrorKind::WouldBlock`] while
-    /// another process has it.
+    /// another process holds it.
     fn lock(&self, path: &Path) -> io::Result<Self::Lock>;
 }
 
--- a/src/storage/journal/record.rs
+++ b/src/storage/journal/record.rs
@@ -1,4 +1,4 @@
-//! The form of the records of the log, and of snapshots.
+//! The encoding of log records and of snapshots.
 
 use crate::api::Nanos;
 use crate::replication::{Fact, StateStore};
@@ -19,7 +19,7 @@
 /// A record of the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Record {
-    /// A fact, as it is after a change.
+    /// A fact, in its state after a change.
     Fact(Fact),
     /// A process has started with this incarnation.
     Incarnation(u64),
@@ -28,20 +28,20 @@
 /// The content of a snapshot.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Snapshot {
-    /// The greatest incarnation that was recorded.
+    /// The greatest recorded incarnation.
     pub(super) incarnation: u64,
     /// All facts.
     pub(super) facts: Vec<Fact>,
 }
 
 impl Record {
-    /// The line for a record: checksum, space, JSON, end of line.
+    /// Encodes a record as a line: checksum, space, JSON, end of line.
     pub(super) fn encode_line(&self) -> Result<String, FileFormatError> {
         let json = serde_json::to_string(self)?;
         Ok(format!("{:08x} {json}\n", crc32fast::hash(json.as_bytes())))
     }
 
-    /// The record of a line without its end, or `None` for a damaged one.
+    /// Decodes a line, given without its end. `None` if it is damaged.
     pub(super) fn decode_line(line: &[u8]) -> Option<Record> {
         let (checksum, json) = (line.get(..CHECKSUM_DIGITS)?, line.get(CHECKSUM_DIGITS + 1..)?);
         let checksum = u32::from_str_radix(std::str::from_utf8(checksum).ok()?, 16).ok()?;
@@ -52,11 +52,12 @@
     }
 }
 
-/// Merges a fact into the journal's copy. False if the copy rejects it.
+/// Merges a fact into the journal's copy. Returns false if the copy rejects it.
 pub(super) fn merge(copy: &mut StateStore, fact: &Fact) -> bool {
-    // The latest time: start times were checked against the clock when the fact was received.
+    // Joined as of the latest time, since start times were checked against the clock when the fact was
+    // received.
     let merged = copy.join(&fact.0, &fact.1, Nanos::MAX).is_ok();
-    // Nobody takes the changed keys of this copy; they would pile up.
+    // Discarded, since nothing consumes the changed keys of this copy and they would accumulate.
     copy.take_changed_keys();
     merged
 }
--- a/src/storage/journal/recovery.rs
+++ b/src/storage/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the files of a journal after a stop or a crash.
+//! Reads the files of a journal after a shutdown or a crash.
 
 use super::record::{Record, SNAPSHOT_FORMAT, Snapshot, merge};
 use super::{LOG, OLDER_LOG, OLDER_SNAPSHOT, SNAPSHOT, TEMPORARY};
@@ -9,17 +9,16 @@
 
 /// Largest part of a log that is read, bytes.
 const MAX_LOG_BYTES: usize = 128 << 20;
-/// Most damaged lines of a file that are reported one by one.
+/// Most damaged lines of a file that are reported individually.
 const MAX_LISTED_LINES: usize = 4;
 
-/// Something on disk that could not be used. The rest of the file, and the other files, are used
-/// nevertheless.
+/// A file or part of one that could not be used. The rest of the file, and the other files, are used.
 #[derive(Debug, thiserror::Error)]
 pub enum RecoveryProblem {
-    /// A file could not be read, or is no valid snapshot.
+    /// A file could not be read, or is not a valid snapshot.
     #[error(transparent)]
     File(#[from] ReadError),
-    /// A snapshot has facts that the limits of the store do not allow.
+    /// A snapshot has facts that the store rejects, for example because of its limits.
     #[error("{}: {rejected} facts can't be taken in", path.display())]
     RejectedFacts {
         /// The snapshot.
@@ -27,15 +26,15 @@
         /// Number of such facts.
         rejected: usize,
     },
-    /// A line of a log is no valid record.
+    /// A line of a log is not a valid record.
     #[error("{}: line {line} is damaged", path.display())]
     DamagedLine {
         /// The log.
         path: PathBuf,
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
     },
-    /// A log has more damaged lines than are reported one by one.
+    /// A log has more damaged lines than are reported individually.
     #[error("{}: {lines} damaged lines in all", path.display())]
     DamagedLines {
         /// The log.
@@ -45,10 +44,10 @@
     },
 }
 
-/// What is found on disk.
+/// What was found on disk.
 #[derive(Debug, Default)]
 pub struct JournalContents {
-    /// All facts that are intact, merged.
+    /// All intact facts, merged.
     pub facts: Vec<Fact>,
     /// The greatest incarnation with which a process of this broker has started; 0 if none has.
     pub incarnation: u64,
@@ -58,16 +57,16 @@
     pub(super) log_bytes: usize,
     /// Size of the last snapshot, bytes.
     pub(super) snapshot_bytes: usize,
-    /// The last line of the log is incomplete.
-    pub(super) log_is_cut: bool,
-    /// Names of the files that can be read and are damaged.
+    /// Whether the last line of the log is incomplete.
+    pub(super) last_line_is_incomplete: bool,
+    /// Names of the files that could be read and are damaged.
     pub(super) damaged_files: Vec<&'static str>,
 }
 
-/// Reads the journal in a directory, without its lock. Never fails: what can't be used is in
+/// Reads the journal in a directory without taking its lock. Never fails: what can't be used is listed in
 /// [`JournalContents::problems`].
 pub fn read(files: &impl FileSystem, dir: &Path, limits: StoreLimits) -> JournalContents {
-    // Origin 0 is that of no process: this copy records no facts of its own.
+    // No process has origin 0: no commands are recorded in this copy.
     let copy = StateStore::new(Origin(0), limits);
     let mut recovery = Recovery { files, dir, copy, contents: JournalContents::default() };
     for name in [OLDER_SNAPSHOT, SNAPSHOT, TEMPORARY] {
@@ -77,16 +76,16 @@
     let log = recovery.read_log(LOG);
     let Recovery { copy, mut contents, .. } = recovery;
     contents.log_bytes = log.bytes;
-    contents.log_is_cut = log.is_cut;
+    contents.last_line_is_incomplete = log.last_line_is_incomplete;
     contents.facts = copy.facts().map(|(key, value)| (key.clone(), value.clone())).collect();
     contents
 }
 
-/// A log that was read.
+/// The size and state of a log that was read.
 #[derive(Default)]
 struct LogFile {
     bytes: usize,
-    is_cut: bool,
+    last_line_is_incomplete: bool,
 }
 
 struct Recovery<'a, F> {
@@ -97,7 +96,7 @@
 }
 
 impl<F: FileSystem> Recovery<'_, F> {
-    /// The bytes of a file, or `None` where it is missing or can't be read.
+    /// The bytes of a file, or `None` if it is missing or can't be read; the latter is recorded as a problem.
     fn read_file(&mut self, path: &Path, max_bytes: usize) -> Option<Vec<u8>> {
         match self.files.read(path, max_bytes) {
             Ok(bytes) => Some(bytes),
@@ -147,10 +146,10 @@
             self.contents.damaged_files.push(name);
             self.report_damage(&path, &damaged_lines);
         }
-        LogFile { bytes: bytes.len(), is_cut: complete < bytes.len() }
+        LogFile { bytes: bytes.len(), last_line_is_incomplete: complete < bytes.len() }
     }
 
-    /// Applies the record of a line. False if the line is damaged.
+    /// Applies the record of a line. Returns false if the line is damaged or the store rejects its fact.
     fn apply_line(&mut self, line: &[u8]) -> bool {
         match Record::decode_line(line) {
             Some(Record::Fact(fact)) => merge(&mut self.copy, &fact),
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,6 +1,7 @@
-//! What outlives the process: checksummed files, the journal of a cluster, and snapshots of the node list.
+//! Data that outlives the process: checksummed files, the journal of a cluster, and snapshots of the node
+//! list.
 //!
-//! [`journal`] and [`snapshot_store`] write on threads of their own, and use the disk only through
+//! [`journal`] and [`snapshot_store`] write on separate threads, and use the disk only through
 //! [`FileSystem`].
 #![deny(
     missing_docs,
--- a/src/storage/snapshot_store.rs
+++ b/src/storage/snapshot_store.rs
@@ -1,8 +1,8 @@
-//! Snapshots of the node list on disk: two generations in a directory, written on a thread of their own.
+//! Snapshots of the node list on disk: two generations in a directory, written on a separate thread.
 //!
-//! A snapshot is written to a temporary file, synced and renamed; the one before it stays as the older
-//! generation. At the start all generations that are valid are merged, so that a crash between two steps
-//! loses nothing. A failure here never stops the broker from serving.
+//! A snapshot is written to a temporary file, synced and renamed; the previous one is retained as the older
+//! generation. At startup all valid generations are merged, so that a crash between two steps loses nothing.
+//! A failure here never stops the broker from serving.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -24,27 +24,27 @@
 pub const CURRENT: &str = "roster.kept";
 /// Name of the older generation.
 pub const OLDER: &str = "roster.kept.1";
-/// Name of a snapshot while it is written.
+/// Name of a snapshot while it is being written.
 pub const TEMPORARY: &str = "roster.kept.tmp";
-/// Name of the file that the process which writes here has locked.
+/// Name of the file that is locked by the process that writes to the directory.
 pub const LOCK: &str = "roster.lock";
 
 /// The snapshots of a directory or file.
 #[derive(Debug, Default)]
 pub struct StoredSnapshots {
-    /// The valid ones, the oldest first.
+    /// The valid ones, oldest first.
     pub snapshots: Vec<Snapshot>,
     /// Why the others can't be used.
     pub problems: Vec<ReadError>,
 }
 
-/// Reads all generations in a directory. Missing files are no problem.
+/// Reads all generations in a directory. Missing files are not reported as problems.
 pub fn read(files: &impl FileSystem, dir: &Path) -> StoredSnapshots {
     let mut stored = StoredSnapshots::default();
     for name in [OLDER, CURRENT, TEMPORARY] {
         match read_file(files, &dir.join(name)) {
             Ok(snapshot) => stored.snapshots.push(snapshot),
-            // A crash leaves an incomplete temporary file; what it was to hold is in the other generations.
+            // A crash leaves an incomplete temporary file; the other generations are still complete.
             Err(ReadError::Format { .. }) if name == TEMPORARY => {}
             Err(ReadError::File(error)) if error.source.kind() == ErrorKind::NotFound => {}
             Err(error) => stored.problems.push(error),
@@ -53,7 +53,7 @@
     stored
 }
 
-/// Reads a directory as [`read`] does, or one file, which has to be there.
+/// Reads a directory as [`read`] does, or a single file, which must exist.
 pub fn read_path(path: &Path) -> StoredSnapshots {
     if path.is_dir() {
         return read(&Disk, path);
@@ -73,8 +73,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the snapshot is too large, or a step of the file system fails. A valid generation remains after
-/// any failure, if there was one before.
+/// Fails when the snapshot is too large, or a file operation fails. A valid generation remains after any
+/// failure, if there was one before.
 pub fn write(files: &impl FileSystem, dir: &Path, snapshot: &Snapshot) -> Result<(), WriteError> {
     let bytes = snapshot::encode(snapshot)?;
     let (current, older, temporary) = (dir.join(CURRENT), dir.join(OLDER), dir.join(TEMPORARY));
@@ -90,12 +90,12 @@
     Ok(())
 }
 
-/// The state of the thread that writes.
+/// The state of the writer thread.
 struct LockedDirectory<F: FileSystem> {
     files: F,
     dir: PathBuf,
-    /// Locked from the first write on. While another process has the lock nothing is written: in a hot
-    /// restart the new process takes over once the draining one has ended.
+    /// Taken at the first write. Nothing is written while another process holds the lock: in a hot restart
+    /// the new process takes it once the draining one has ended.
     lock: Option<F::Lock>,
     is_failing: bool,
 }
@@ -133,9 +133,9 @@
     }
 }
 
-/// Writes snapshots on a thread of its own, one at a time.
+/// Writes snapshots on a separate thread, one at a time.
 ///
-/// Dropping it waits at most 500 ms for a write under way.
+/// Dropping it waits at most 500 ms for a write in progress.
 #[derive(Debug)]
 pub struct SnapshotWriter {
     thread: WriterThread<Snapshot>,
@@ -143,11 +143,11 @@
 }
 
 impl SnapshotWriter {
-    /// Creates a directory if needed, and gives the valid snapshots in it, the oldest first, and a writer for
+    /// Creates a directory if needed, and returns the valid snapshots in it, oldest first, and a writer for
     /// it.
     ///
-    /// This blocks on the disk: it is for the start, before clients are served. The writer is `None` if the
-    /// directory can't be created or the system gives no thread; problems are logged.
+    /// This blocks on the disk, and is to be called at startup, before clients are served. The writer is
+    /// `None` if the directory or the thread can't be created; problems are logged.
     pub fn open(dir: &Path) -> (Vec<Snapshot>, Option<SnapshotWriter>) {
         if let Err(error) = std::fs::create_dir_all(dir) {
             let dir = dir.display();
@@ -163,7 +163,7 @@
         (stored.snapshots, SnapshotWriter::start(Disk, dir.to_owned()))
     }
 
-    /// A writer for a directory. `None`, after a log line, if the system gives no thread.
+    /// Starts a writer for a directory. Logs an error and returns `None` if the thread can't be created.
     pub fn start(files: impl FileSystem, dir: PathBuf) -> Option<SnapshotWriter> {
         let is_busy = Arc::new(AtomicBool::new(false));
         let busy = is_busy.clone();
--- a/src/storage/writer.rs
+++ b/src/storage/writer.rs
@@ -1,4 +1,4 @@
-//! A thread that carries out the writes of one owner, so that a slow disk never blocks the poll loop.
+//! A thread that performs the writes of one owner, so that a slow disk never blocks the poll loop.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -12,17 +12,17 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How long dropping a [`WriterThread`] waits for its last write: a disk that hangs must not keep the program
-/// from ending.
+/// How long dropping a [`WriterThread`] waits for its last write: a disk that hangs must not prevent the
+/// process from exiting.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A named thread with a bounded queue of jobs.
 ///
-/// Dropping it closes the queue and waits at most 500 ms for the jobs in it to be done. A thread that needs
-/// longer is left to itself.
+/// Dropping it closes the queue and waits at most 500 ms for the queued jobs. A thread that needs longer is
+/// detached.
 #[derive(Debug)]
 pub(super) struct WriterThread<T> {
-    /// Is `None` only while this is dropped.
+    /// `None` only during the drop.
     jobs: Option<SyncSender<T>>,
     ended: Receiver<()>,
     thread: Option<JoinHandle<()>>,
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the system gives no thread.
+    /// Fails when the operating system can't create a thread.
     pub(super) fn spawn(
         name: &str,
         queue_len: usize,
@@ -43,14 +43,14 @@
         let (signal_end, ended) = sync_channel(1);
         let run = move || {
             work(queue);
-            // Fails when the owner no longer waits.
+            // Fails if the owner has stopped waiting.
             let _ = signal_end.send(());
         };
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(run)?;
         Ok(WriterThread { jobs: Some(jobs), ended, thread: Some(thread) })
     }
 
-    /// Queues a job. Never blocks; gives the job back if the queue is full or the thread has ended.
+    /// Queues a job. Never blocks; returns the job if the queue is full or the thread has ended.
     pub(super) fn try_send(&self, job: T) -> Result<(), T> {
         let Some(jobs) = &self.jobs else { return Err(job) };
         jobs.try_send(job).map_err(|error| match error {
@@ -60,7 +60,7 @@
 }
 
 impl<T> WriterThread<T> {
-    /// Whether the thread has ended, so that no job will be done any more.
+    /// Whether the thread has ended, so that no more jobs will be processed.
     pub(super) fn has_stopped(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
@@ -72,7 +72,7 @@
         match self.ended.recv_timeout(SHUTDOWN_TIMEOUT) {
             Ok(()) => {
                 if let Some(thread) = self.thread.take() {
-                    // A panic of the thread has been reported by the panic hook.
+                    // The panic hook has reported a panic of the thread.
                     let _ = thread.join();
                 }
             }
