--- a/src/storage/checksummed_file.rs
+++ b/src/storage/checksummed_file.rs
@@ -41,10 +41,10 @@
     #[error("it has {0} bytes, more than may be")]
     TooLarge(usize),
     /// The header is not that of the expected format, whose [`FileFormat::description`] is given.
-    #[error("it is no {0}")]
+    #[error("it has no valid header for \"{0}\"")]
     UnknownFormat(&'static str),
     /// The header has another version than [`FileFormat::version`].
-    #[error("it has version {0}, which is not known")]
+    #[error("it has version {0}, which is not supported")]
     Version(u32),
     /// The body is shorter or longer than its header says.
     #[error("its body has {actual} bytes instead of {expected}")]
@@ -55,10 +55,10 @@
         expected: usize,
     },
     /// The body or the header was changed after it was written.
-    #[error("its checksum does not fit")]
+    #[error("its checksum does not match")]
     Checksum,
     /// The body is intact but is not JSON of the expected type, or the value can't be represented as JSON.
-    #[error("its body can't be read: {0}")]
+    #[error("its body is not valid: {0}")]
     Body(#[source] BodyError),
 }
 
--- a/src/storage/error.rs
+++ b/src/storage/error.rs
@@ -48,6 +48,6 @@
     #[error(transparent)]
     File(#[from] FileError),
     /// Another process has locked the directory.
-    #[error("another process keeps its list there")]
+    #[error("another process has locked the directory")]
     Locked,
 }
--- a/src/storage/file_system.rs
+++ b/src/storage/file_system.rs
@@ -35,7 +35,7 @@
     fn read(&self, path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
         // Devices and pipes may be endless, and opening a pipe blocks until its other side is opened.
         if !std::fs::metadata(path)?.is_file() {
-            return Err(io::Error::new(ErrorKind::InvalidInput, "it is no file"));
+            return Err(io::Error::new(ErrorKind::InvalidInput, "it is not a regular file"));
         }
         let mut bytes = Vec::new();
         File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
--- a/src/storage/journal/log_writer.rs
+++ b/src/storage/journal/log_writer.rs
@@ -106,7 +106,7 @@
     /// Writes a snapshot. A failed one is retried after a later write; its facts are in the log meanwhile.
     fn try_snapshot(&mut self) {
         if let Err(error) = self.snapshot() {
-            tracing::error!(%error, "journal snapshot was not written; the log goes on");
+            tracing::error!(%error, "journal snapshot was not written; the log continues to be used");
         }
     }
 
--- a/src/storage/journal/recovery.rs
+++ b/src/storage/journal/recovery.rs
@@ -19,7 +19,7 @@
     #[error(transparent)]
     File(#[from] ReadError),
     /// A snapshot has facts that the store rejects, for example because of its limits.
-    #[error("{}: {rejected} facts can't be taken in", path.display())]
+    #[error("{}: {rejected} facts were rejected by the store", path.display())]
     RejectedFacts {
         /// The snapshot.
         path: PathBuf,
--- a/src/storage/snapshot_store.rs
+++ b/src/storage/snapshot_store.rs
@@ -110,7 +110,7 @@
         match result {
             Ok(()) if was_failing => tracing::info!(%dir, "node list snapshots are written again"),
             Err(error) if !was_failing => {
-                tracing::error!(%dir, %error, "node list snapshot was not written; serving goes on");
+                tracing::error!(%dir, %error, "node list snapshot was not written; serving continues");
             }
             // Logged once for each run of failures: a full disk stays full.
             _ => {}
@@ -151,7 +151,7 @@
     pub fn open(dir: &Path) -> (Vec<Snapshot>, Option<SnapshotWriter>) {
         if let Err(error) = std::fs::create_dir_all(dir) {
             let dir = dir.display();
-            tracing::error!(%dir, %error, "node list snapshots are off: the directory can't be created");
+            tracing::error!(%dir, %error, "node list snapshots are disabled: the directory can't be created");
             return (Vec::new(), None);
         }
         let stored = read(&Disk, dir);
@@ -177,7 +177,7 @@
         match WriterThread::spawn("keeper", 1, work) {
             Ok(thread) => Some(SnapshotWriter { thread, is_busy }),
             Err(error) => {
-                tracing::error!(%error, "node list snapshots are off: no writer thread");
+                tracing::error!(%error, "node list snapshots are disabled: no writer thread");
                 None
             }
         }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -150,7 +150,7 @@
         }),
         ("version 7", |p| std::fs::write(p, b"pebbleturn-roster 7 0 00000000\n").unwrap()),
         ("more than", |p| std::fs::File::create(p).unwrap().set_len(9 << 20).unwrap()),
-        ("no file", |p| {
+        ("it is not a regular file", |p| {
             std::fs::remove_file(p).unwrap();
             std::fs::create_dir(p).unwrap();
         }),
