--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the node list on disk: each failure of the disk that the design note names.
+//! Snapshots of the node list on disk, and the disk failures that the design note lists.
 
 use pebbleturn::membership::snapshot::{Snapshot, SnapshotNode};
 use pebbleturn::membership::staleness::ChangeRate;
@@ -12,7 +12,7 @@
 use std::sync::mpsc;
 
 fn snapshot(version: u64, terminating: bool) -> Snapshot {
-    let fact = NodeRecord {
+    let node_record = NodeRecord {
         id: "s-1".into(),
         addr: Some("127.0.0.1:80".parse().unwrap()),
         zone: "a".into(),
@@ -22,68 +22,68 @@
         started: 0,
     };
     let node = SnapshotNode {
-        record: fact,
+        record: node_record,
         epoch: 0,
         version,
         received: version,
         after_reset: false,
         confirmed: Some(version),
     };
-    let (whole, rate) = (Some((0, 1, 1)), ChangeRate::NONE);
+    let (last_full_list, rate) = (Some((0, 1, 1)), ChangeRate::NONE);
     Snapshot {
         written: version,
         last_confirmed: Some(version),
-        full_list: whole,
+        full_list: last_full_list,
         pruned_up_to: None,
         rate,
         nodes: vec![node],
     }
 }
 
-/// A disk on which the step number `from` and all later steps fail, as in a crash, on a full disk or in a
-/// directory that was removed.
+/// A disk on which the operation number `fail_from` and all later ones fail, as in a crash, on a full disk or
+/// in a directory that was removed.
 #[derive(Clone, Default)]
 struct FailingDisk {
-    steps: Arc<AtomicUsize>,
-    from: Arc<AtomicUsize>,
+    operations: Arc<AtomicUsize>,
+    fail_from: Arc<AtomicUsize>,
     /// Bytes of a file that are written before its write fails.
-    written: usize,
+    partial_bytes: usize,
 }
 
 impl FailingDisk {
-    fn step(&self) -> io::Result<()> {
-        let n = self.steps.fetch_add(1, Ordering::SeqCst);
-        if n < self.from.load(Ordering::SeqCst) { Ok(()) } else { Err(ErrorKind::StorageFull.into()) }
+    fn next_operation(&self) -> io::Result<()> {
+        let n = self.operations.fetch_add(1, Ordering::SeqCst);
+        if n < self.fail_from.load(Ordering::SeqCst) { Ok(()) } else { Err(ErrorKind::StorageFull.into()) }
     }
 }
 
 impl FileSystem for FailingDisk {
     type Lock = ();
 
-    fn read(&self, path: &Path, most: usize) -> io::Result<Vec<u8>> {
-        Disk.read(path, most)
+    fn read(&self, path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
+        Disk.read(path, max_bytes)
     }
 
     fn write_synced(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        if let Err(e) = self.step() {
-            std::fs::write(path, &bytes[..self.written.min(bytes.len())])?;
+        if let Err(e) = self.next_operation() {
+            std::fs::write(path, &bytes[..self.partial_bytes.min(bytes.len())])?;
             return Err(e);
         }
         Disk.write_synced(path, bytes)
     }
 
     fn append_synced(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
-        self.step()?;
+        self.next_operation()?;
         Disk.append_synced(path, bytes)
     }
 
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()> {
-        self.step()?;
+        self.next_operation()?;
         Disk.rename(from, to)
     }
 
     fn sync_dir(&self, dir: &Path) -> io::Result<()> {
-        self.step()?;
+        self.next_operation()?;
         Disk.sync_dir(dir)
     }
 
@@ -92,8 +92,8 @@
     }
 }
 
-fn versions(lists: &[Snapshot]) -> Vec<u64> {
-    lists.iter().map(|l| l.nodes[0].version).collect()
+fn versions(snapshots: &[Snapshot]) -> Vec<u64> {
+    snapshots.iter().map(|s| s.nodes[0].version).collect()
 }
 
 #[test]
@@ -102,8 +102,8 @@
     for n in 1..=3 {
         snapshot_store::write(&Disk, dir.path(), &snapshot(n, false)).unwrap();
     }
-    let StoredSnapshots { snapshots: lists, problems } = snapshot_store::read(&Disk, dir.path());
-    assert_eq!((versions(&lists), problems.len()), (vec![2, 3], 0));
+    let StoredSnapshots { snapshots: stored, problems } = snapshot_store::read(&Disk, dir.path());
+    assert_eq!((versions(&stored), problems.len()), (vec![2, 3], 0));
     let mut names: Vec<_> = std::fs::read_dir(dir.path())
         .unwrap()
         .map(|e| e.unwrap().file_name().into_string().unwrap())
@@ -114,19 +114,22 @@
 
 #[test]
 fn a_crash_at_any_step_of_a_write_loses_no_stored_snapshot() {
-    for (from, written) in [(0, 0), (0, 20), (0, 200), (1, 0), (2, 0), (3, 0), (4, 0)] {
+    for (fail_from, partial_bytes) in [(0, 0), (0, 20), (0, 200), (1, 0), (2, 0), (3, 0), (4, 0)] {
         let dir = tempfile::tempdir().unwrap();
         snapshot_store::write(&Disk, dir.path(), &snapshot(1, false)).unwrap();
         snapshot_store::write(&Disk, dir.path(), &snapshot(2, false)).unwrap();
-        let crashing =
-            FailingDisk { from: Arc::new(AtomicUsize::new(from)), written, ..FailingDisk::default() };
+        let crashing = FailingDisk {
+            fail_from: Arc::new(AtomicUsize::new(fail_from)),
+            partial_bytes,
+            ..FailingDisk::default()
+        };
         let result = snapshot_store::write(&crashing, dir.path(), &snapshot(3, true));
-        assert_eq!(result.is_ok(), from == 4);
-        let StoredSnapshots { snapshots: lists, problems } = snapshot_store::read(&Disk, dir.path());
+        assert_eq!(result.is_ok(), fail_from == 4);
+        let StoredSnapshots { snapshots: stored, problems } = snapshot_store::read(&Disk, dir.path());
         assert!(problems.is_empty(), "{problems:?}");
-        assert!(versions(&lists).contains(&2), "step {from}: {:?}", versions(&lists));
-        // Once the new snapshot was complete on disk, its draining node is known whatever failed later.
-        assert_eq!(versions(&lists).contains(&3), from > 0, "step {from}");
+        assert!(versions(&stored).contains(&2), "operation {fail_from}: {:?}", versions(&stored));
+        // Once the new snapshot is complete on disk, its draining node is known, whatever fails later.
+        assert_eq!(versions(&stored).contains(&3), fail_from > 0, "operation {fail_from}");
         // The next write succeeds.
         snapshot_store::write(&Disk, dir.path(), &snapshot(4, true)).unwrap();
         assert_eq!(versions(&snapshot_store::read(&Disk, dir.path()).snapshots).last(), Some(&4));
@@ -136,7 +139,7 @@
 #[test]
 fn a_corrupt_generation_is_reported_and_the_other_one_is_used() {
     type Corrupt = fn(&Path);
-    let corrupt: [(&str, Corrupt); 6] = [
+    let corruptions: [(&str, Corrupt); 6] = [
         ("empty", |p| std::fs::write(p, b"").unwrap()),
         ("checksum", |p| {
             let mut bytes = std::fs::read(p).unwrap();
@@ -155,15 +158,15 @@
             std::fs::create_dir(p).unwrap();
         }),
     ];
-    for (word, corrupt) in corrupt {
+    for (expected, corrupt) in corruptions {
         let dir = tempfile::tempdir().unwrap();
         snapshot_store::write(&Disk, dir.path(), &snapshot(1, false)).unwrap();
         snapshot_store::write(&Disk, dir.path(), &snapshot(2, false)).unwrap();
         corrupt(&dir.path().join(CURRENT));
-        let StoredSnapshots { snapshots: lists, problems } = snapshot_store::read(&Disk, dir.path());
-        assert_eq!((versions(&lists), problems.len()), (vec![1], 1), "{word}: {problems:?}");
+        let StoredSnapshots { snapshots: stored, problems } = snapshot_store::read(&Disk, dir.path());
+        assert_eq!((versions(&stored), problems.len()), (vec![1], 1), "{expected}: {problems:?}");
         let problem = problems[0].to_string();
-        assert!(problem.contains(word) && problem.contains(CURRENT), "{problem}");
+        assert!(problem.contains(expected) && problem.contains(CURRENT), "{problem}");
     }
 }
 
@@ -178,7 +181,7 @@
     wait_until_idle(&second);
     assert_eq!(versions(&snapshot_store::read(&Disk, dir.path()).snapshots), [1]);
     assert!(dir.path().join(LOCK).exists());
-    // As in a hot restart: the next process takes over.
+    // As in a hot restart, the next process takes the lock.
     drop(first);
     second.write(snapshot(3, false));
     wait_until_idle(&second);
@@ -202,7 +205,7 @@
         wait_until_idle(&writer);
     }
     assert!(snapshot_store::read(&Disk, dir.path()).snapshots.is_empty());
-    disk.from.store(usize::MAX, Ordering::SeqCst);
+    disk.fail_from.store(usize::MAX, Ordering::SeqCst);
     writer.write(snapshot(4, false));
     wait_until_idle(&writer);
     assert_eq!(versions(&snapshot_store::read(&Disk, dir.path()).snapshots), [4]);
@@ -211,30 +214,30 @@
 #[test]
 fn a_removed_directory_is_used_again_once_it_is_recreated() {
     let dir = tempfile::tempdir().unwrap();
-    let place = dir.path().join("kept");
-    let (_, writer) = SnapshotWriter::open(&place);
+    let snapshot_dir = dir.path().join("kept");
+    let (_, writer) = SnapshotWriter::open(&snapshot_dir);
     let mut writer = writer.unwrap();
-    std::fs::remove_dir_all(&place).unwrap();
+    std::fs::remove_dir_all(&snapshot_dir).unwrap();
     writer.write(snapshot(1, false));
     wait_until_idle(&writer);
-    std::fs::create_dir(&place).unwrap();
+    std::fs::create_dir(&snapshot_dir).unwrap();
     writer.write(snapshot(2, false));
     wait_until_idle(&writer);
-    assert_eq!(versions(&snapshot_store::read(&Disk, &place).snapshots), [2]);
-    // Nothing is stored where the path is no directory.
+    assert_eq!(versions(&snapshot_store::read(&Disk, &snapshot_dir).snapshots), [2]);
+    // Nothing is stored if the path is not a directory.
     let file = dir.path().join("file");
     std::fs::write(&file, "").unwrap();
     assert!(SnapshotWriter::open(&file).1.is_none());
 }
 
-/// A disk whose writes block until the channel has a message.
-struct SlowDisk(PathBuf, std::sync::Mutex<mpsc::Receiver<()>>);
+/// A disk whose writes create the file of this path, and then block until the channel has a message.
+struct BlockingDisk(PathBuf, std::sync::Mutex<mpsc::Receiver<()>>);
 
-impl FileSystem for SlowDisk {
+impl FileSystem for BlockingDisk {
     type Lock = ();
 
-    fn read(&self, path: &Path, most: usize) -> io::Result<Vec<u8>> {
-        Disk.read(path, most)
+    fn read(&self, path: &Path, max_bytes: usize) -> io::Result<Vec<u8>> {
+        Disk.read(path, max_bytes)
     }
 
     fn write_synced(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
@@ -263,25 +266,25 @@
 #[test]
 fn a_hanging_disk_blocks_no_caller_and_a_started_write_is_finished_at_shutdown() {
     let dir = tempfile::tempdir().unwrap();
-    let begun = dir.path().join("begun");
-    let (go, wait) = mpsc::channel();
-    let disk = SlowDisk(begun.clone(), std::sync::Mutex::new(wait));
+    let write_started = dir.path().join("begun");
+    let (unblock, blocked) = mpsc::channel();
+    let disk = BlockingDisk(write_started.clone(), std::sync::Mutex::new(blocked));
     let mut writer = SnapshotWriter::start(disk, dir.path().to_owned()).unwrap();
     writer.write(snapshot(1, true));
-    while !begun.exists() {
+    while !write_started.exists() {
         std::thread::yield_now();
     }
     assert!(!writer.is_idle() && snapshot_store::read(&Disk, dir.path()).snapshots.is_empty());
-    go.send(()).unwrap();
+    unblock.send(()).unwrap();
     drop(writer);
     assert_eq!(versions(&snapshot_store::read(&Disk, dir.path()).snapshots), [1]);
-    // A disk that never answers delays the end of the program only by the timeout.
-    let (stuck, wait) = mpsc::channel();
-    let disk = SlowDisk(begun, std::sync::Mutex::new(wait));
+    // A disk that never responds delays the exit of the process only by the timeout.
+    let (never_sent, blocked) = mpsc::channel();
+    let disk = BlockingDisk(write_started, std::sync::Mutex::new(blocked));
     let mut writer = SnapshotWriter::start(disk, dir.path().to_owned()).unwrap();
     writer.write(snapshot(2, true));
     drop(writer);
-    // The drop has returned although the disk still hangs; the stored snapshot is unchanged.
+    // The drop has returned although the disk still blocks; the stored snapshot is unchanged.
     assert_eq!(versions(&snapshot_store::read(&Disk, dir.path()).snapshots), [1]);
-    drop(stuck);
+    drop(never_sent);
 }
