--- a/tests/cluster/simulated.rs
+++ b/tests/cluster/simulated.rs
@@ -1,4 +1,4 @@
-//! Brokers of a cluster in simulated time, a judge over all of them.
+//! Clusters of brokers in simulated time, whose invariants are checked after each run.
 
 use pebbleturn::gossip::codec;
 use pebbleturn::replication::{CommandValue, FactKey, ProcessStart};
@@ -9,8 +9,8 @@
     FactKey::Server(format!("s-{n}"))
 }
 
-/// All faults end, all brokers run, and their copies become equal within the sessions that docs/cluster.md tells; then the
-/// judge speaks.
+/// Ends all faults, starts all brokers, and checks that their stores become equal within the number of
+/// anti-entropy sessions that docs/cluster.md states, and that the invariants hold then.
 fn converge_after_faults(cluster: &mut SimulatedCluster) -> Result<(), String> {
     cluster.cut_links.clear();
     cluster.links = LinkConditions::default();
@@ -20,25 +20,25 @@
         }
     }
     let before = cluster.sessions_begun.clone();
-    // Whoever stands still goes on within this time; who asks it meanwhile asks in vain.
+    // Paused brokers resume within this time; sessions with them fail until then.
     cluster.run_for(25 * SECOND);
     if !cluster.wait_for(60 * SECOND, |cluster| {
         cluster.stores_are_equal() && (0..cluster.len()).all(|n| cluster.is_caught_up(n))
     }) {
         return Err(format!("stores never became equal: {}", cluster.describe()));
     }
-    let most = cluster.len().next_power_of_two().trailing_zeros() + 8;
+    let max_sessions = cluster.len().next_power_of_two().trailing_zeros() + 8;
     let sessions = (0..cluster.len()).map(|n| cluster.sessions_begun[n] - before[n]).max().unwrap_or(0);
     cluster.check_invariants();
-    if sessions > most {
+    if sessions > max_sessions {
         cluster.violations.push(format!("{sessions} sessions of one broker"));
     }
     if cluster.violations.is_empty() { Ok(()) } else { Err(format!("{:?}", cluster.violations)) }
 }
 
-fn assert_converges(cluster: &mut SimulatedCluster, what: &str) {
+fn assert_converges(cluster: &mut SimulatedCluster, phase: &str) {
     if let Err(why) = converge_after_faults(cluster) {
-        panic!("{what}: {why}");
+        panic!("{phase}: {why}");
     }
 }
 
@@ -67,9 +67,9 @@
     cluster.run_for(3 * SECOND);
     cluster.record(0, &server(1), CommandValue::Set).unwrap();
     cluster.run_for(2 * SECOND);
-    let sides = |n: usize| usize::from(n < 2);
+    let side = |n: usize| usize::from(n < 2);
     for a in 0..5 {
-        (0..5).filter(|b| sides(a) != sides(*b)).for_each(|b| cluster.set_link_cut(a, b, true));
+        (0..5).filter(|b| side(a) != side(*b)).for_each(|b| cluster.set_link_cut(a, b, true));
     }
     cluster.record(0, &server(1), CommandValue::Clear).unwrap();
     cluster.record(4, &server(1), CommandValue::Set).unwrap();
@@ -87,7 +87,8 @@
         && cluster.derived_state(n).conflicts.is_empty()));
 }
 
-/// A cut in one direction only, and cuts that at no time leave more than two of five connected.
+/// Partitions that never leave more than two of five brokers connected, and a link that is cut in one
+/// direction only.
 #[test]
 fn facts_spread_without_a_connected_majority() {
     let mut cluster = SimulatedCluster::new(5, 3);
@@ -96,7 +97,7 @@
         (0..5).filter(|b| a != *b).for_each(|b| cluster.set_link_cut(a, b, true));
     }
     cluster.record(0, &server(1), CommandValue::Set).unwrap();
-    // One pair after the other.
+    // The pairs of brokers are connected one after the other.
     for pair in [(0, 1), (1, 2), (2, 3), (3, 4)] {
         for (a, b) in [pair, (pair.1, pair.0)] {
             cluster.set_link_cut(a, b, false);
@@ -119,16 +120,16 @@
     cluster.record(0, &server(1), CommandValue::Set).unwrap();
     assert!(
         cluster.wait_for(10 * SECOND, |cluster| cluster.derived_state(1).disabled_servers.contains("s-1")),
-        "by way of the third"
+        "not received through the third broker"
     );
-    // Who can be heard by a third is not taken for down.
+    // A broker that a third one can reach is not reported as down.
     cluster.run_for(60 * SECOND);
     assert_eq!(cluster.peers_up(0) + cluster.peers_up(1) + cluster.peers_up(2), 6);
     assert_converges(&mut cluster, "one way");
 }
 
 #[test]
-fn a_paused_process_takes_no_peer_for_down_and_rejoins() {
+fn a_paused_process_reports_no_peer_as_down_and_rejoins() {
     let mut cluster = SimulatedCluster::new(5, 5);
     cluster.run_for(5 * SECOND);
     cluster.pause(2, 20 * SECOND);
@@ -137,24 +138,24 @@
     cluster.run_for(9 * SECOND);
     assert!(cluster.derived_state(2).disabled_servers.is_empty());
     cluster.run_for(2 * SECOND);
-    assert_eq!(cluster.peers_up(2), 4, "it takes all others for what they were");
+    assert_eq!(cluster.peers_up(2), 4, "it must not report any peer as down");
     assert!(
         cluster.wait_for(5 * SECOND, |cluster| cluster.derived_state(2).disabled_servers.contains("s-1"))
     );
     assert!(cluster.wait_for(10 * SECOND, |cluster| (0..5).all(|n| cluster.peers_up(n) == 4)));
-    // It was taken for down, if at all, while it did stand still.
+    // If it was reported as down, that was while it was paused.
     assert_eq!(cluster.counts.false_positives, 0);
     assert_converges(&mut cluster, "stopped");
 }
 
-/// What others sent meanwhile tells it that it is suspected: it says at once that it is there.
+/// Datagrams that arrived during the pause report the suspicion: the broker refutes it as soon as it resumes.
 #[test]
 fn a_paused_process_refutes_its_suspicion_at_once() {
     let mut cluster = SimulatedCluster::new(5, 15);
     cluster.run_for(5 * SECOND);
     cluster.pause(2, 4 * SECOND);
     cluster.run_for(4 * SECOND - 10 * MILLISECOND);
-    assert!((0..5).filter(|n| *n != 2).all(|n| cluster.peers_up(n) == 3), "it is suspected");
+    assert!((0..5).filter(|n| *n != 2).all(|n| cluster.peers_up(n) == 3), "it must be suspected");
     cluster.run_for(100 * MILLISECOND);
     assert!((0..5).all(|n| cluster.peers_up(n) == 4), "{}", cluster.describe());
 }
@@ -170,7 +171,7 @@
     cluster.record(1, &server(2), CommandValue::Clear).unwrap();
     cluster.record(1, &server(3), CommandValue::Set).unwrap();
     cluster.run_for(5 * SECOND);
-    // All are killed; four start, one of them from its old disk; it says something at once.
+    // All are killed; four start, one of them from its old disk, and that one records a command immediately.
     (0..5).for_each(|n| cluster.kill(n));
     cluster.set_disk(1, old.clone());
     [1, 2, 3, 4].into_iter().for_each(|n| cluster.start(n));
@@ -178,7 +179,7 @@
     cluster.run_for(20 * SECOND);
     assert!((1..5).all(|n| !cluster.derived_state(n).disabled_servers.contains("s-2")
         && cluster.derived_state(n).disabled_servers.contains("s-3")));
-    // Longer than words are kept: the ended ones are forgotten everywhere, and then the oldest disk comes back.
+    // After the retention time, ended commands are collected everywhere; then the oldest disk is restored.
     cluster.run_for(300 * SECOND);
     assert!(cluster.member(2).unwrap().store().register(&server(2)).is_none());
     cluster.kill(1);
@@ -203,7 +204,7 @@
     cluster.run_for(10 * SECOND);
     cluster.kill(2);
     cluster.run_for(1000 * SECOND);
-    assert_converges(&mut cluster, "late word");
+    assert_converges(&mut cluster, "late command");
     assert!((0..3).all(|n| cluster.derived_state(n).disabled_servers.contains("s-1")
         && !cluster.derived_state(n).disabled_servers.contains("s-2")));
 }
@@ -223,7 +224,7 @@
     cluster.record(2, &server(1), CommandValue::Clear).unwrap();
     cluster.run_for(3 * SECOND);
     assert!((0..4).all(|n| cluster.derived_state(n).disabled_servers.is_empty()));
-    // A start that lies ahead is taken from nobody.
+    // A reported start that is too far ahead of the clock is rejected by all other brokers.
     let ahead = ProcessStart { started: cluster.now + 3600 * SECOND, list_version: 1 };
     cluster.record_process_event(1, FactKey::Start("s-9".into()), ahead);
     cluster.run_for(3 * SECOND);
@@ -235,7 +236,7 @@
             .get(&FactKey::Start("s-9".into()))
             .is_none())
     );
-    // A restart under a clock that went back still speaks for itself.
+    // After a restart with a clock that was set back, a broker is still seen as up.
     cluster.kill(3);
     cluster.set_clock_skew(3, -(3600 * SECOND as i64));
     cluster.start(3);
@@ -245,7 +246,7 @@
 #[test]
 fn brokers_with_partial_peer_lists_converge_and_one_joins_during_a_partition() {
     let mut cluster = SimulatedCluster::empty(5, 9);
-    // A ring: each lists its neighbours only. One starts later.
+    // A ring: each broker lists only its two neighbours. One starts later.
     for n in 0..5 {
         cluster.set_listed_peers(n, vec![(n + 1) % 5, (n + 4) % 5]);
     }
@@ -276,7 +277,7 @@
     cluster.set_disk(3, Default::default());
     cluster.start(3);
     assert!(cluster.wait_for(30 * SECOND, |cluster| (0..4).all(|n| cluster.peers_up(n) == 3)));
-    assert_converges(&mut cluster, "let in");
+    assert_converges(&mut cluster, "readmitted");
 }
 
 #[test]
@@ -292,7 +293,7 @@
     assert!(cluster.wait_for(30 * SECOND, |cluster| {
         (0..5).all(|n| cluster.derived_state(n).disabled_servers.len() == 2)
     }));
-    // One after the other is upgraded.
+    // The brokers with the older version are upgraded one by one.
     for n in 0..3 {
         cluster.kill(n);
         cluster.set_latest_version(n, codec::LATEST_VERSION);
@@ -304,52 +305,56 @@
     assert!((0..5).all(|n| cluster.derived_state(n).disabled_servers.len() == 5));
 }
 
-/// What goes wrong with a schedule of faults once they are over, if anything.
+/// Runs a schedule of faults, and returns why the cluster does not converge after them, if it does not.
 fn failure(brokers: usize, seed: u64, steps: &[Step]) -> Option<String> {
     let mut cluster = SimulatedCluster::new(brokers, seed);
     schedule::run(&mut cluster, steps);
     converge_after_faults(&mut cluster).err()
 }
 
-/// Thousands of random schedules: words, cuts in one direction and both, loss, doubling, reordering, stops, kills,
-/// restarts with old disks or none, clocks that are off. One that fails is shrunk, to be kept as a test of its own.
+/// Thousands of random schedules: commands, cuts in one or both directions, loss, duplication, reordering,
+/// pauses, kills, restarts with old disks or none, clock skew. One that fails is shrunk to a minimal
+/// schedule, to be added as a test of its own.
 #[test]
 fn random_faults_never_prevent_convergence_or_break_an_invariant() {
     for seed in 0..2000 {
         let brokers = 3 + (seed % 5) as usize;
         let steps = schedule::generate(brokers, 30, seed);
         if let Some(why) = failure(brokers, seed, &steps) {
-            let least = schedule::shrink(&steps, |s| failure(brokers, seed, s).is_some());
-            panic!("seed {seed}, {brokers} brokers: {why}; least schedule: {least:?}");
+            let minimal = schedule::shrink(&steps, |s| failure(brokers, seed, s).is_some());
+            panic!("seed {seed}, {brokers} brokers: {why}; minimal schedule: {minimal:?}");
         }
     }
 }
 
 #[test]
 fn a_failing_schedule_is_shrunk_to_its_minimum() {
-    // A stand-in for a fault: some word that one has not heard when another is killed.
+    // Stands in for a defect: broker 0 records a suspension, and broker 1 is killed later.
     let fails = |steps: &[Step]| {
-        let said = steps.iter().position(|s| matches!(s, Step::Record { at: 0, out: true, .. }));
-        said.is_some_and(|n| steps[n..].iter().any(|s| matches!(s, Step::Kill { at: 1 })))
+        let recorded_at = steps.iter().position(|s| matches!(s, Step::Record { at: 0, out: true, .. }));
+        recorded_at.is_some_and(|n| steps[n..].iter().any(|s| matches!(s, Step::Kill { at: 1 })))
     };
     let steps = schedule::generate(3, 300, 5);
     assert!(fails(&steps));
-    let least = schedule::shrink(&steps, fails);
-    assert!(matches!(least[..], [Step::Record { at: 0, out: true, .. }, Step::Kill { at: 1 }]), "{least:?}");
+    let minimal = schedule::shrink(&steps, fails);
+    assert!(
+        matches!(minimal[..], [Step::Record { at: 0, out: true, .. }, Step::Kill { at: 1 }]),
+        "{minimal:?}"
+    );
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let play = || {
+    let run = || {
         let mut cluster = SimulatedCluster::new(6, 77);
         let steps = schedule::generate(6, 60, 7);
         schedule::run(&mut cluster, &steps);
         cluster.run_for(60 * SECOND);
-        let copies: Vec<Vec<u8>> =
+        let stores: Vec<Vec<u8>> =
             (0..6).filter_map(|n| Some(cluster.member(n)?.store().to_bytes())).collect();
-        (copies, cluster.counts.datagrams, cluster.counts.bytes)
+        (stores, cluster.counts.datagrams, cluster.counts.bytes)
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
 
 #[test]
@@ -358,8 +363,8 @@
     cluster.run_for(30 * SECOND);
     let before: u64 = cluster.bytes_sent.iter().sum();
     cluster.run_for(30 * SECOND);
-    let idle = (cluster.bytes_sent.iter().sum::<u64>() - before) / 30 / 300;
-    assert!(idle < 1024, "{idle} bytes a second");
+    let idle_rate = (cluster.bytes_sent.iter().sum::<u64>() - before) / 30 / 300;
+    assert!(idle_rate < 1024, "{idle_rate} bytes a second");
     cluster.links.loss = 0.05;
     let dot = cluster.record(0, &server(1), CommandValue::Set).unwrap();
     assert!(
