--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -115,7 +115,7 @@
                     Speech::Z3950(Box::default())
                 };
                 self.clients.insert(conn, Client { speech, job: None, peer });
-                self.places.take(conn, hands.now);
+                self.places.add(conn, hands.now);
                 self.read(conn, hands);
                 self.make_room(hands);
             }
@@ -130,14 +130,14 @@
 
     /// Closes whom the places name while there are too many.
     fn make_room(&mut self, hands: &mut Hand) {
-        while hands.net.accepted() > self.places.most() && !hands.net.close_oldest_lingering() {
-            let Some(conn) = self.places.first_to_go() else { return };
+        while hands.net.accepted() > self.places.max_connections() && !hands.net.close_oldest_lingering() {
+            let Some(conn) = self.places.eviction_candidate() else { return };
             // Who has asked meanwhile stays.
             self.read(conn, hands);
-            if self.places.first_to_go() == Some(conn) {
+            if self.places.eviction_candidate() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
                 let http = self.clients.get(&conn).is_some_and(|c| matches!(c.speech, Speech::Sru { .. }));
-                if http && self.places.may_ask(conn) {
+                if http && self.places.may_have_request(conn) {
                     let wait = hands.engine.overloaded().retry_after;
                     self.part_with(conn, Some(http::service_unavailable(wait)), hands);
                 } else {
@@ -153,7 +153,7 @@
     }
 
     fn gone(&mut self, conn: ConnId, hands: &mut Hand) {
-        self.places.gone(conn);
+        self.places.remove(conn);
         if let Some((query, _)) = self.clients.remove(&conn).and_then(|c| c.job) {
             self.waiting.remove(&query);
             hands.engine.client_disconnected(query);
@@ -177,7 +177,7 @@
                 ReadOutcome::WouldBlock => return,
                 ReadOutcome::NoBuffer => {
                     // Guards those who ask against those who hold the buffers with half a request.
-                    if let Some(other) = self.places.first_with_buffer(conn) {
+                    if let Some(other) = self.places.buffer_holder(conn) {
                         tracing::debug!("client connection closed for its buffer");
                         self.close(other, hands);
                     }
@@ -205,7 +205,7 @@
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.job.is_none()) else { return };
             let reading = matches!(&client.speech, Speech::Sru { reader, .. } if !reader.is_idle());
             if reading || !hands.net.data(conn).is_empty() {
-                self.places.reading(conn, hands.now);
+                self.places.partial_request(conn, hands.now);
             }
             let more = match &mut client.speech {
                 Speech::Sru { .. } => self.work_sru(conn, hands),
@@ -259,7 +259,7 @@
     fn send(&mut self, conn: ConnId, message: &[u8], hands: &mut Hand) -> bool {
         let sent = hands.net.send(conn, message).is_ok();
         if sent {
-            self.places.rest(conn, hands.now);
+            self.places.request_answered(conn, hands.now);
         } else {
             self.hang_up(conn, "it does not read its answers", hands);
         }
@@ -430,7 +430,7 @@
         match hands.engine.submit(hands.now, ask) {
             Ok(query) => {
                 self.waiting.insert(query, conn);
-                self.places.open(conn);
+                self.places.query_admitted(conn);
                 if let Some(client) = self.clients.get_mut(&conn) {
                     client.job = Some((query, job));
                 }
@@ -516,7 +516,7 @@
 
     /// From now on there are so many places.
     pub fn keep_to(&mut self, most: usize) {
-        self.places.keep_to(most, most);
+        self.places.set_limits(most, most);
     }
 
     /// The classes' names in the order of the settings.
@@ -571,7 +571,7 @@
         // Who was answered meanwhile may have to go for those that wait to be accepted.
         self.make_room(hands);
         while let Some(conn) = self.places.overdue(hands.now) {
-            let Some(client) = self.clients.get(&conn) else { return self.places.gone(conn) };
+            let Some(client) = self.clients.get(&conn) else { return self.places.remove(conn) };
             tracing::info!("client {} closed: nothing came for too long", client.peer);
             let message = match &client.speech {
                 Speech::Z3950(s) => {
--- a/src/frontends/connection_slots.rs
+++ b/src/frontends/connection_slots.rs
@@ -10,7 +10,7 @@
 
 /// Time in which a request must be in whole, from the connection's start or from the first byte of a further
 /// request.
-pub const WHOLE_IN: Nanos = 2_500_000_000;
+pub const REQUEST_TIMEOUT: Nanos = 2_500_000_000;
 
 /// How long a new connection counts as one whose first request is on its way.
 const FRESH: Nanos = 200_000_000;
@@ -64,23 +64,23 @@
     }
 
     /// From now on there are so many places, of which so many for who has asked.
-    pub fn keep_to(&mut self, most: usize, most_proven: usize) {
+    pub fn set_limits(&mut self, most: usize, most_proven: usize) {
         (self.most, self.most_proven) = (most, most_proven);
     }
 
     /// How many places there are.
-    pub fn most(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         self.most
     }
 
     /// A connection was accepted.
-    pub fn take(&mut self, conn: ConnId, now: Nanos) {
+    pub fn add(&mut self, conn: ConnId, now: Nanos) {
         self.held.insert(conn, Held::default());
         self.set(conn, Some((Kind::Silent, now)));
     }
 
     /// A connection is gone.
-    pub fn gone(&mut self, conn: ConnId) {
+    pub fn remove(&mut self, conn: ConnId) {
         self.set(conn, None);
         if self.held.remove(&conn).is_some_and(|h| h.proven) {
             self.proven -= 1;
@@ -88,7 +88,7 @@
     }
 
     /// A query of it was taken: until that is answered it is not closed.
-    pub fn open(&mut self, conn: ConnId) {
+    pub fn query_admitted(&mut self, conn: ConnId) {
         self.set(conn, None);
         if let Some(held) = self.held.get_mut(&conn) {
             self.proven += usize::from(!std::mem::replace(&mut held.proven, true));
@@ -96,7 +96,7 @@
     }
 
     /// A part of a request is in.
-    pub fn reading(&mut self, conn: ConnId, now: Nanos) {
+    pub fn partial_request(&mut self, conn: ConnId, now: Nanos) {
         let Some(held) = self.held.get(&conn) else { return };
         let doing = match held.doing {
             Some((Kind::Silent, since)) => (Kind::Begun, since),
@@ -108,7 +108,7 @@
     }
 
     /// A request of it was answered, and nothing of a further one is in.
-    pub fn rest(&mut self, conn: ConnId, now: Nanos) {
+    pub fn request_answered(&mut self, conn: ConnId, now: Nanos) {
         let Some(held) = self.held.get(&conn) else { return };
         let kind = if held.proven { Kind::Idle } else { Kind::Silent };
         self.set(conn, Some((kind, now)));
@@ -132,12 +132,12 @@
     }
 
     /// Who has to go for another connection's sake; nobody while all have open requests.
-    pub fn first_to_go(&self) -> Option<ConnId> {
+    pub fn eviction_candidate(&self) -> Option<ConnId> {
         self.waiting.iter().find_map(|w| w.first()).map(|(_, conn)| *conn)
     }
 
     /// Whether nothing was ever asked on it or a request is coming in: a close alone would leave that unanswered.
-    pub fn may_ask(&self, conn: ConnId) -> bool {
+    pub fn may_have_request(&self, conn: ConnId) -> bool {
         let doing = self.held.get(&conn).and_then(|h| h.doing);
         doing.is_some_and(|(kind, _)| kind != Kind::Idle)
     }
@@ -146,20 +146,20 @@
     ///
     /// Guards clients that may hold only so many connections in all: one that asks once and stays would keep
     /// the next from asking.
-    pub fn first_to_rest(&self) -> Option<ConnId> {
+    pub fn excess_idle(&self) -> Option<ConnId> {
         let idle = self.waiting[Kind::Idle as usize].first().filter(|_| self.proven > self.most_proven);
         idle.map(|(_, conn)| *conn)
     }
 
     /// Who has to go so that a buffer becomes free: one that holds a part of a request.
-    pub fn first_with_buffer(&self, but: ConnId) -> Option<ConnId> {
+    pub fn buffer_holder(&self, but: ConnId) -> Option<ConnId> {
         let kinds = [Kind::Begun, Kind::Reading].into_iter();
         let mut conns = kinds.flat_map(|k| self.waiting[k as usize].iter().map(|(_, conn)| *conn));
         conns.find(|conn| *conn != but)
     }
 
     fn limit(&self, kind: Kind) -> Nanos {
-        if kind == Kind::Idle { self.idle } else { WHOLE_IN }
+        if kind == Kind::Idle { self.idle } else { REQUEST_TIMEOUT }
     }
 
     fn set(&mut self, conn: ConnId, doing: Option<(Kind, Nanos)>) {
--- a/src/frontends/platform/downstream.rs
+++ b/src/frontends/platform/downstream.rs
@@ -65,7 +65,7 @@
 
     /// From now on there are so many places, of which so many for who has asked.
     pub fn keep_to(&mut self, most: usize, most_proven: usize) {
-        self.places.keep_to(most, most_proven);
+        self.places.set_limits(most, most_proven);
     }
 
     /// Ids of open queries.
@@ -96,7 +96,7 @@
             NetEvent::Accepted { conn, peer, .. } => {
                 let reader = Reader::new(Side::Requests);
                 self.clients.insert(conn, Client { reader, query: None, id: None, keep_alive: true, peer });
-                self.places.take(conn, hands.now);
+                self.places.add(conn, hands.now);
                 self.read(conn, hands);
                 self.make_room(hands);
             }
@@ -111,13 +111,13 @@
 
     /// Closes whom the places name while there are too many.
     fn make_room(&mut self, hands: &mut Platform) {
-        while hands.net.accepted() > self.places.most() && !hands.net.close_oldest_lingering() {
-            let Some(conn) = self.places.first_to_go() else { return };
+        while hands.net.accepted() > self.places.max_connections() && !hands.net.close_oldest_lingering() {
+            let Some(conn) = self.places.eviction_candidate() else { return };
             // Who has asked meanwhile stays.
             self.read(conn, hands);
-            if self.places.first_to_go() == Some(conn) {
+            if self.places.eviction_candidate() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
-                if self.places.may_ask(conn) {
+                if self.places.may_have_request(conn) {
                     let wait = hands.engine.overloaded().retry_after;
                     self.part_with(conn, &http::service_unavailable(wait), hands);
                 } else {
@@ -133,7 +133,7 @@
     }
 
     fn gone(&mut self, conn: ConnId, hands: &mut Platform) {
-        self.places.gone(conn);
+        self.places.remove(conn);
         if let Some(query) = self.clients.remove(&conn).and_then(|c| c.query) {
             self.waiting.remove(&query);
             hands.engine.client_disconnected(query);
@@ -176,7 +176,7 @@
 
     /// Closes who holds a buffer with a part of a request, for another's sake. False if there is nobody.
     fn free_a_buffer(&mut self, but: ConnId, hands: &mut Platform) -> bool {
-        let Some(other) = self.places.first_with_buffer(but) else { return false };
+        let Some(other) = self.places.buffer_holder(but) else { return false };
         tracing::debug!("client connection closed for its buffer");
         self.close(other, hands);
         true
@@ -207,7 +207,7 @@
             }
             if !client.reader.is_done() {
                 if !client.reader.is_idle() || !hands.net.data(conn).is_empty() {
-                    self.places.reading(conn, hands.now);
+                    self.places.partial_request(conn, hands.now);
                 }
                 return;
             }
@@ -267,7 +267,7 @@
                 }
                 self.used.add(hands.now, id);
                 self.waiting.insert(query, conn);
-                self.places.open(conn);
+                self.places.query_admitted(conn);
             }
             Err(refused) => {
                 tracing::info!("query refused: as many are open as may be");
@@ -305,7 +305,7 @@
             hands.net.close_lingering(conn, hands.now);
             self.gone(conn, hands);
         } else {
-            self.places.rest(conn, hands.now);
+            self.places.request_answered(conn, hands.now);
         }
     }
 
@@ -374,15 +374,15 @@
     pub fn tick(&mut self, hands: &mut Platform) {
         // Who was answered meanwhile may have to go for those that wait to be accepted.
         self.make_room(hands);
-        while let Some(conn) = self.places.first_to_rest() {
+        while let Some(conn) = self.places.excess_idle() {
             self.read(conn, hands);
-            if self.places.first_to_rest() == Some(conn) {
+            if self.places.excess_idle() == Some(conn) {
                 tracing::debug!("client connection closed for those that come next");
                 self.close(conn, hands);
             }
         }
         while let Some(conn) = self.places.overdue(hands.now) {
-            let Some(client) = self.clients.get(&conn) else { return self.places.gone(conn) };
+            let Some(client) = self.clients.get(&conn) else { return self.places.remove(conn) };
             tracing::info!("client {} closed: nothing came for too long", client.peer);
             if client.reader.is_idle() && hands.net.data(conn).is_empty() {
                 self.close(conn, hands);
