--- a/src/frontends/platform/frame.rs
+++ b/src/frontends/platform/frame.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromServer<'a> {
     /// The answer to a part.
-    Answer { id: &'a str, end: End, busy: Option<f64>, value: &'a str },
+    Answer { id: &'a str, end: End, utilization: Option<f64>, value: &'a str },
     /// The frame before could not be used.
     Unusable(&'a [u8]),
 }
@@ -93,7 +93,7 @@
         _ => return Err(bad("an unknown end")),
     };
     // A report that can't be read takes nothing from the answer.
-    Ok(FromServer::Answer { id, end, busy: std::str::from_utf8(report).ok().and_then(busy), value })
+    Ok(FromServer::Answer { id, end, utilization: std::str::from_utf8(report).ok().and_then(busy), value })
 }
 
 /// Where the first line ends, once that is in.
@@ -147,7 +147,7 @@
 }
 
 /// Writes that a part is given up.
-pub fn give_up(id: &str) -> Vec<u8> {
+pub fn cancel(id: &str) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, b'A'];
     out.extend_from_slice(id.as_bytes());
     sized(out)
--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -81,9 +81,15 @@
     let limits = UpstreamLimits {
         streams: told.params.streams(),
         dial_timeout: told.params.dial_timeout(),
-        idle: told.params.idle(),
-        silent: settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(SILENT).min(SILENT),
-        most: to_servers,
+        idle_timeout: told.params.idle(),
+        silence_timeout: settings
+            .classes
+            .iter()
+            .map(|c| c.latency_objective)
+            .min()
+            .unwrap_or(SILENT)
+            .min(SILENT),
+        max_connections: to_servers,
     };
     let mut servers = Upstream::new(SERVERS, limits);
     let (kept, keeper) = told.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
@@ -92,7 +98,7 @@
         warm_up: settings.slow_start_time,
         mean_change_interval: CHANGES_EVERY,
         default_list_age: PRESUMED_AGE,
-        silence_timeout: limits.silent / 5,
+        silence_timeout: limits.silence_timeout / 5,
         zones: names.zones().clone(),
         kinds: Vec::new(),
         seed: told.seed,
@@ -140,7 +146,7 @@
     );
     let mut exchange = QueryEngine::new(settings, told.seed, now).map_err(ConfigError::rejected)?;
     let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.propagate_changes(&mut hands, |c| servers.place(c.entry.replica, c.addr));
+    membership.propagate_changes(&mut hands, |c| servers.set_address(c.entry.replica, c.addr));
     // The list of servers is in before the first client can come.
     exchange.advance(now);
     let listening = match told.inherited {
@@ -206,7 +212,7 @@
         }
         self.servers.tick(hands);
         self.clients.tick(hands);
-        self.membership.tick(hands, |c| self.servers.place(c.entry.replica, c.addr));
+        self.membership.tick(hands, |c| self.servers.set_address(c.entry.replica, c.addr));
     }
 
     fn perform(
@@ -220,7 +226,8 @@
             EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, hands),
             EngineAction::WatchEndpoints => {
                 self.membership.request_watch(hands.now, hands.net);
-                self.membership.propagate_changes(hands, |c| self.servers.place(c.entry.replica, c.addr));
+                self.membership
+                    .propagate_changes(hands, |c| self.servers.set_address(c.entry.replica, c.addr));
             }
             // Shard servers on this port are not probed; the settings forbid it.
             EngineAction::HealthCheck { replica } => hands.engine.health_checked(replica, false, 0, None),
--- a/src/frontends/platform/upstream.rs
+++ b/src/frontends/platform/upstream.rs
@@ -34,12 +34,12 @@
     /// A connection that is not up by then never comes up.
     pub dial_timeout: Nanos,
     /// The peer closes a connection that was idle for so long.
-    pub idle: Nanos,
+    pub idle_timeout: Nanos,
     /// A connection on which calls went out and nothing came back for so long gets no further call. Guards
     /// against one that fell silent while its server is well: dialling shows whether that is there.
-    pub silent: Nanos,
+    pub silence_timeout: Nanos,
     /// Most connections, all servers together. Beyond them the one that has been unused for longest makes room.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// A part that travels on a connection.
@@ -115,11 +115,11 @@
 
     /// From now on there are at most so many connections.
     pub fn keep_to(&mut self, most: usize) {
-        self.limits.most = most;
+        self.limits.max_connections = most;
     }
 
     /// Where a server is to be reached from now on; none: nowhere.
-    pub fn place(&mut self, replica: ReplicaId, addr: Option<SocketAddr>) {
+    pub fn set_address(&mut self, replica: ReplicaId, addr: Option<SocketAddr>) {
         match addr {
             Some(addr) => self.addrs.insert(replica, addr),
             None => self.addrs.remove(&replica),
@@ -244,7 +244,7 @@
     ) -> Result<ConnId, Outcome> {
         let addr = *self.addrs.get(&replica).ok_or(Outcome::ConnectFailed)?;
         let heard = |l: &Link| {
-            l.unheard.is_none_or(|t| now < t + self.limits.silent)
+            l.unheard.is_none_or(|t| now < t + self.limits.silence_timeout)
                 && l.partly.is_none_or(|t| now < t + PARTLY)
         };
         let room = |l: &Link| heard(l) && (l.load() == 0 || l.load() + parts <= self.limits.streams);
@@ -252,7 +252,7 @@
         if let Some((conn, _)) = fits.max_by_key(|(_, l)| (l.up_by.is_none(), l.load())) {
             return Ok(*conn);
         }
-        if self.links.len() >= self.limits.most && !self.make_room(net) {
+        if self.links.len() >= self.limits.max_connections && !self.make_room(net) {
             tracing::warn!("no connection to a shard server: {} are in use", self.links.len());
             return Err(Outcome::NotSent);
         }
@@ -301,7 +301,7 @@
         let Some(link) = self.links.get_mut(&conn) else { return };
         if let Some(at) = link.riding.iter().position(|r| r.attempt == attempt) {
             let riding = link.riding.remove(at);
-            let _ = net.send(conn, &frame::give_up(&riding.id));
+            let _ = net.send(conn, &frame::cancel(&riding.id));
             if link.given_up.len() >= MOST_GIVEN_UP {
                 link.given_up.pop_front();
             }
@@ -359,7 +359,7 @@
                     link.partly = (!data.is_empty()).then(|| link.partly.unwrap_or(hands.now));
                     return;
                 }
-                Ok(Some((size, FromServer::Answer { id, end, busy, value }))) => {
+                Ok(Some((size, FromServer::Answer { id, end, utilization, value }))) => {
                     link.partly = None;
                     let at = link.riding.iter().position(|r| r.id == id);
                     // Guards clients against a value that ends too early: what is left of it is no frame.
@@ -379,7 +379,7 @@
                         hands.engine.attempt_ended(
                             hands.now,
                             attempt,
-                            AttemptOutcome { outcome, utilization: busy, value },
+                            AttemptOutcome { outcome, utilization, value },
                         );
                     } else if let Some(late) = link.given_up.iter().position(|g| g == id) {
                         link.given_up.remove(late);
@@ -456,7 +456,7 @@
     }
 
     fn ends(&self, l: &Link) -> Nanos {
-        let idle = l.used + self.limits.idle / 10 * 9;
+        let idle = l.used + self.limits.idle_timeout / 10 * 9;
         match (l.up_by, l.partly) {
             (Some(t), _) => t,
             (None, Some(t)) => t + WHOLE_IN,
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -26,9 +26,15 @@
         let clock = Clock::start();
         let mut engine = QueryEngine::new(settings(effect), 7, clock.now()).unwrap();
         engine.update_endpoints(true, vec![line(0, ReplicaState::Active, None)]);
-        let limits = UpstreamLimits { streams: 8, dial_timeout: 5 * S, idle: 30 * S, silent: 5 * S, most: 8 };
+        let limits = UpstreamLimits {
+            streams: 8,
+            dial_timeout: 5 * S,
+            idle_timeout: 30 * S,
+            silence_timeout: 5 * S,
+            max_connections: 8,
+        };
         let mut upstream = Upstream::new(0, limits);
-        upstream.place(ReplicaId(0), Some(listener.local_addr().unwrap()));
+        upstream.set_address(ReplicaId(0), Some(listener.local_addr().unwrap()));
         UpstreamBench { clock, net: PollLoop::new(Pool::new(16), 16).unwrap(), engine, upstream }
     }
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -97,7 +97,8 @@
     let frame = |body: &[u8]| [&(body.len() as u32).to_be_bytes()[..], body].concat();
     for report in ["busy=-3", "util=lots", "util=1e99", "\u{7f}", "a b c", ""] {
         let bytes = frame(format!("Yq.3 OK 17 {report}\nvalue").as_bytes());
-        let answer = frame::FromServer::Answer { id: "q.3", end: frame::End::Ok, busy: None, value: "value" };
+        let answer =
+            frame::FromServer::Answer { id: "q.3", end: frame::End::Ok, utilization: None, value: "value" };
         assert_eq!(frame::read(&bytes), Ok(Some((bytes.len(), answer))), "{report}");
     }
     assert!(frame::read(&frame(b"Yq.3 OK 17 \xff\xfe\nvalue")).is_ok());
@@ -119,7 +120,7 @@
     for cut in 0..frame.len() {
         assert_eq!(frame::read(&frame[..cut]), Ok(None));
     }
-    let answer = frame::FromServer::Answer { id: "q.3", end: frame::End::Ok, busy: Some(0.61), value };
+    let answer = frame::FromServer::Answer { id: "q.3", end: frame::End::Ok, utilization: Some(0.61), value };
     assert_eq!(frame::read(&frame), Ok(Some((frame.len(), answer))));
     for bad in [&b"\0\0\0\0"[..], b"\xff\0\0\0", b"\0\0\0\x05R", b"\0\0\0\x05Yabcd", b"\0\0\0\x08Ya B C -"] {
         assert!(frame::read(bad).is_err(), "{bad:?}");
@@ -130,7 +131,7 @@
 fn calls_are_written_as_the_protocol_shows() {
     let line = frame::PartLine { id: "9b.3", shard: 3, wait_ms: 240, text: "c41e77d0" };
     assert_eq!(frame::call(&[line]), b"\0\0\0\x18R9b.3 3 d=240 8\nc41e77d0");
-    assert_eq!(frame::give_up("9b.3"), b"\0\0\0\x05A9b.3");
+    assert_eq!(frame::cancel("9b.3"), b"\0\0\0\x05A9b.3");
 }
 
 /// A random search.
