--- a/src/frontends/platform/downstream.rs
+++ b/src/frontends/platform/downstream.rs
@@ -2,7 +2,7 @@
 
 use super::RequestContext;
 use super::query;
-use super::recent_request_ids::UsedIds;
+use super::recent_request_ids::RecentRequestIds;
 use crate::api::Nanos;
 use crate::config::Names;
 use crate::engine::{QueryId, QueryOutcome, QueryRequest};
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Most reads of one connection at a time.
-const READS: usize = 4;
+const MAX_READS: usize = 4;
 
 struct Client {
     reader: Reader,
@@ -32,29 +32,29 @@
     names: Names,
     shards: u32,
     clients: HashMap<ConnId, Client>,
-    waiting: HashMap<QueryId, ConnId>,
-    places: ConnectionSlots,
-    used: UsedIds,
+    by_query: HashMap<QueryId, ConnId>,
+    slots: ConnectionSlots,
+    recent_ids: RecentRequestIds,
     /// Not ready, and how far clients are sent away.
-    draining: bool,
-    leaving: DrainPhase,
+    not_ready: bool,
+    drain_phase: DrainPhase,
 }
 
-type Platform<'a> = FrontendContext<'a, RequestContext, String>;
+type Context<'a> = FrontendContext<'a, RequestContext, String>;
 
 impl Downstream {
     /// The client side, with the classes' names, and its places.
-    pub fn new(names: Names, shards: u32, places: ConnectionSlots) -> Downstream {
-        let (clients, waiting, used) = (HashMap::new(), HashMap::new(), UsedIds::default());
+    pub fn new(names: Names, shards: u32, slots: ConnectionSlots) -> Downstream {
+        let (clients, by_query, recent_ids) = (HashMap::new(), HashMap::new(), RecentRequestIds::default());
         Downstream {
             names,
             shards,
             clients,
-            waiting,
-            places,
-            used,
-            draining: false,
-            leaving: DrainPhase::Serving,
+            by_query,
+            slots,
+            recent_ids,
+            not_ready: false,
+            drain_phase: DrainPhase::Serving,
         }
     }
 
@@ -64,8 +64,8 @@
     }
 
     /// From now on there are so many places, of which so many for who has asked.
-    pub fn keep_to(&mut self, most: usize, most_proven: usize) {
-        self.places.set_limits(most, most_proven);
+    pub fn set_connection_limits(&mut self, max_connections: usize, max_queried: usize) {
+        self.slots.set_limits(max_connections, max_queried);
     }
 
     /// Ids of open queries.
@@ -74,9 +74,9 @@
     }
 
     /// Ids that another process has in use.
-    pub fn ids_in_use(&mut self, ids: &[String], now: Nanos) {
+    pub fn reserve_ids(&mut self, ids: &[String], now: Nanos) {
         for id in ids {
-            self.used.add(now, id.as_str().into());
+            self.recent_ids.insert(now, id.as_str().into());
         }
     }
 
@@ -87,21 +87,21 @@
 
     /// When `tick` is next worth calling.
     pub fn due(&self) -> Option<Nanos> {
-        self.places.due()
+        self.slots.due()
     }
 
     /// Takes in what happened on one of its connections.
-    pub fn event(&mut self, event: NetEvent, hands: &mut Platform) {
+    pub fn event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Accepted { conn, peer, .. } => {
                 let reader = Reader::new(Side::Requests);
                 self.clients.insert(conn, Client { reader, query: None, id: None, keep_alive: true, peer });
-                self.places.add(conn, hands.now);
-                self.read(conn, hands);
-                self.make_room(hands);
+                self.slots.add(conn, context.now);
+                self.read(conn, context);
+                self.close_excess(context);
             }
-            NetEvent::Readable { conn, .. } => self.read(conn, hands),
-            NetEvent::Broken { conn, .. } => self.gone(conn, hands),
+            NetEvent::Readable { conn, .. } => self.read(conn, context),
+            NetEvent::Broken { conn, .. } => self.forget(conn, context),
             NetEvent::Flushed { .. }
             | NetEvent::Connected { .. }
             | NetEvent::Datagrams { .. }
@@ -110,126 +110,126 @@
     }
 
     /// Closes whom the places name while there are too many.
-    fn make_room(&mut self, hands: &mut Platform) {
-        while hands.net.accepted() > self.places.max_connections() && !hands.net.close_oldest_lingering() {
-            let Some(conn) = self.places.eviction_candidate() else { return };
+    fn close_excess(&mut self, context: &mut Context) {
+        while context.net.accepted() > self.slots.max_connections() && !context.net.close_oldest_lingering() {
+            let Some(conn) = self.slots.eviction_candidate() else { return };
             // Who has asked meanwhile stays.
-            self.read(conn, hands);
-            if self.places.eviction_candidate() == Some(conn) {
+            self.read(conn, context);
+            if self.slots.eviction_candidate() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
-                if self.places.may_have_request(conn) {
-                    let wait = hands.engine.overloaded().retry_after;
-                    self.part_with(conn, &http::service_unavailable(wait), hands);
+                if self.slots.may_have_request(conn) {
+                    let wait = context.engine.overloaded().retry_after;
+                    self.close_with_response(conn, &http::service_unavailable(wait), context);
                 } else {
-                    self.close(conn, hands);
+                    self.close(conn, context);
                 }
             }
         }
     }
 
-    fn close(&mut self, conn: ConnId, hands: &mut Platform) {
-        hands.net.close(conn);
-        self.gone(conn, hands);
+    fn close(&mut self, conn: ConnId, context: &mut Context) {
+        context.net.close(conn);
+        self.forget(conn, context);
     }
 
-    fn gone(&mut self, conn: ConnId, hands: &mut Platform) {
-        self.places.remove(conn);
+    fn forget(&mut self, conn: ConnId, context: &mut Context) {
+        self.slots.remove(conn);
         if let Some(query) = self.clients.remove(&conn).and_then(|c| c.query) {
-            self.waiting.remove(&query);
-            hands.engine.client_disconnected(query);
+            self.by_query.remove(&query);
+            context.engine.client_disconnected(query);
         }
     }
 
-    fn read(&mut self, conn: ConnId, hands: &mut Platform) {
-        for _ in 0..READS {
-            match hands.net.fill(conn) {
-                ReadOutcome::Read(_) => self.work(conn, hands),
+    fn read(&mut self, conn: ConnId, context: &mut Context) {
+        for _ in 0..MAX_READS {
+            match context.net.fill(conn) {
+                ReadOutcome::Read(_) => self.parse_input(conn, context),
                 // What a client sends ahead of its answer stays unread once the buffer is full.
                 ReadOutcome::BufferFull => {
-                    self.work(conn, hands);
+                    self.parse_input(conn, context);
                     if self.clients.get(&conn).is_none_or(|c| c.query.is_some()) {
-                        return self.close_if_ended(conn, hands);
+                        return self.close_if_ended(conn, context);
                     }
                 }
                 ReadOutcome::WouldBlock => return,
-                ReadOutcome::NoBuffer if hands.net.peer_ended(conn) => return self.close(conn, hands),
+                ReadOutcome::NoBuffer if context.net.peer_ended(conn) => return self.close(conn, context),
                 ReadOutcome::NoBuffer => {
                     // Guards those who ask against those who hold the buffers with half a request.
-                    self.free_a_buffer(conn, hands);
+                    self.free_buffer(conn, context);
                     return;
                 }
-                ReadOutcome::Closed => return self.close(conn, hands),
+                ReadOutcome::Closed => return self.close(conn, context),
             }
             if !self.clients.contains_key(&conn) {
                 return;
             }
         }
-        hands.net.requeue_readable(conn);
+        context.net.requeue_readable(conn);
     }
 
     /// Guards against work for a client that has gone, the end of whose connection can't be read for what lies before.
-    fn close_if_ended(&mut self, conn: ConnId, hands: &mut Platform) {
-        if hands.net.peer_ended(conn) {
-            self.close(conn, hands);
+    fn close_if_ended(&mut self, conn: ConnId, context: &mut Context) {
+        if context.net.peer_ended(conn) {
+            self.close(conn, context);
         }
     }
 
     /// Closes who holds a buffer with a part of a request, for another's sake. False if there is nobody.
-    fn free_a_buffer(&mut self, but: ConnId, hands: &mut Platform) -> bool {
-        let Some(other) = self.places.buffer_holder(but) else { return false };
+    fn free_buffer(&mut self, except: ConnId, context: &mut Context) -> bool {
+        let Some(other) = self.slots.buffer_holder(except) else { return false };
         tracing::debug!("client connection closed for its buffer");
-        self.close(other, hands);
+        self.close(other, context);
         true
     }
 
     /// Parses what is there, and takes requests for as long as none waits for its answer.
-    fn work(&mut self, conn: ConnId, hands: &mut Platform) {
+    fn parse_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.query.is_none()) else { return };
-            let pool = hands.net.pool().clone();
-            let before = client.reader.head().is_some();
-            let used = match client.reader.advance(hands.net.data(conn), &pool) {
-                Ok(used) => used,
+            let pool = context.net.pool().clone();
+            let had_head = client.reader.head().is_some();
+            let consumed = match client.reader.advance(context.net.data(conn), &pool) {
+                Ok(consumed) => consumed,
                 // Guards a whole request against those who hold the buffers with half a one.
                 Err(HttpError::NoBuffer) => {
-                    if self.free_a_buffer(conn, hands) {
+                    if self.free_buffer(conn, context) {
                         continue;
                     }
-                    let wait = hands.engine.overloaded().retry_after;
-                    return self.part_with(conn, &http::service_unavailable(wait), hands);
+                    let wait = context.engine.overloaded().retry_after;
+                    return self.close_with_response(conn, &http::service_unavailable(wait), context);
                 }
-                Err(e) => return self.unreadable(conn, e, hands),
+                Err(e) => return self.reject_malformed(conn, e, context),
             };
-            hands.net.consume(conn, used);
-            let head = client.reader.head().filter(|_| !before);
+            context.net.consume(conn, consumed);
+            let head = client.reader.head().filter(|_| !had_head);
             if head.is_some_and(|h| h.expects_continue) && !client.reader.is_done() {
-                let _ = hands.net.send(conn, b"HTTP/1.1 100 Continue\r\n\r\n");
+                let _ = context.net.send(conn, b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             if !client.reader.is_done() {
-                if !client.reader.is_idle() || !hands.net.data(conn).is_empty() {
-                    self.places.partial_request(conn, hands.now);
+                if !client.reader.is_idle() || !context.net.data(conn).is_empty() {
+                    self.slots.partial_request(conn, context.now);
                 }
                 return;
             }
-            self.request(conn, hands);
+            self.handle_request(conn, context);
         }
     }
 
-    fn unreadable(&mut self, conn: ConnId, e: HttpError, hands: &mut Platform) {
+    fn reject_malformed(&mut self, conn: ConnId, e: HttpError, context: &mut Context) {
         if let Some(client) = self.clients.get(&conn) {
             tracing::warn!("client {} closed: {e}", client.peer);
         }
-        self.part_with(conn, &http::response(e.status(), &[], false, b""), hands);
+        self.close_with_response(conn, &http::response(e.status(), &[], false, b""), context);
     }
 
     /// Tells a client what was wrong and closes, though it may be in the middle of a request.
-    fn part_with(&mut self, conn: ConnId, message: &[u8], hands: &mut Platform) {
-        let _ = hands.net.send(conn, message);
-        hands.net.close_lingering(conn, hands.now);
-        self.gone(conn, hands);
+    fn close_with_response(&mut self, conn: ConnId, message: &[u8], context: &mut Context) {
+        let _ = context.net.send(conn, message);
+        context.net.close_lingering(conn, context.now);
+        self.forget(conn, context);
     }
 
-    fn request(&mut self, conn: ConnId, hands: &mut Platform) {
+    fn handle_request(&mut self, conn: ConnId, context: &mut Context) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let Some(head) = client.reader.head() else { return };
         client.keep_alive = head.keep_alive;
@@ -238,48 +238,48 @@
             ("POST", "/api") => match query::read(head, client.reader.body(), &self.names, self.shards) {
                 Err(why) => {
                     tracing::info!("request of client {} is bad: {why}", client.peer);
-                    return self.reply(conn, 400, &[], why.as_bytes(), hands);
+                    return self.reply(conn, 400, &[], why.as_bytes(), context);
                 }
-                Ok(ask) if self.used.has(&ask.payload.id) => {
+                Ok(request) if self.recent_ids.contains(&request.payload.id) => {
                     tracing::info!("request of client {} has the id of another", client.peer);
-                    return self.reply(conn, 409, &[], b"this Req-Id was used", hands);
+                    return self.reply(conn, 409, &[], b"this Req-Id was used", context);
                 }
-                Ok(ask) => return self.open(conn, ask, hands),
+                Ok(request) => return self.submit_query(conn, request, context),
             },
-            ("GET", "/-/ready") => (if self.draining { 503 } else { 200 }, ""),
+            ("GET", "/-/ready") => (if self.not_ready { 503 } else { 200 }, ""),
             ("GET", "/-/healthy") => (200, ""),
             (_, "/api") => (405, "POST"),
             (_, "/-/ready" | "/-/healthy") => (405, "GET"),
             _ => (404, ""),
         };
         let headers: &[(&str, &str)] = if allow.is_empty() { &[] } else { &[("Allow", allow)] };
-        self.reply(conn, status, headers, b"", hands);
+        self.reply(conn, status, headers, b"", context);
     }
 
-    fn open(&mut self, conn: ConnId, ask: QueryRequest<RequestContext>, hands: &mut Platform) {
-        let id = ask.payload.id.clone();
-        match hands.engine.submit(hands.now, ask) {
+    fn submit_query(&mut self, conn: ConnId, request: QueryRequest<RequestContext>, context: &mut Context) {
+        let id = request.payload.id.clone();
+        match context.engine.submit(context.now, request) {
             Ok(query) => {
                 tracing::debug!(request = %id, query = query.0, "request was admitted as a query");
                 if let Some(client) = self.clients.get_mut(&conn) {
                     (client.query, client.id) = (Some(query), Some(id.clone()));
                     client.reader.reset();
                 }
-                self.used.add(hands.now, id);
-                self.waiting.insert(query, conn);
-                self.places.query_admitted(conn);
+                self.recent_ids.insert(context.now, id);
+                self.by_query.insert(query, conn);
+                self.slots.query_admitted(conn);
             }
             Err(refused) => {
                 tracing::info!("query refused: as many are open as may be");
-                self.refuse(conn, refused.retry_after, hands);
+                self.refuse(conn, refused.retry_after, context);
             }
         }
     }
 
-    fn refuse(&mut self, conn: ConnId, wait: Nanos, hands: &mut Platform) {
+    fn refuse(&mut self, conn: ConnId, wait: Nanos, context: &mut Context) {
         let text = http::retry_after(wait);
         let headers: &[(&str, &str)] = if wait > 0 { &[("Retry-After", &text)] } else { &[] };
-        self.reply(conn, 503, headers, b"", hands);
+        self.reply(conn, 503, headers, b"", context);
     }
 
     /// Writes a response and makes ready for the next request.
@@ -289,23 +289,23 @@
         status: u16,
         headers: &[(&str, &str)],
         body: &[u8],
-        hands: &mut Platform,
+        context: &mut Context,
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.reader.reset();
         // Guards requests that were sent ahead: they are answered before the connection ends, but not without end.
-        let ahead = self.leaving < DrainPhase::ClosingAll && !hands.net.data(conn).is_empty();
-        let keep = client.keep_alive && (self.leaving < DrainPhase::ClosingAfterAnswer || ahead);
+        let pipelined = self.drain_phase < DrainPhase::ClosingAll && !context.net.data(conn).is_empty();
+        let keep = client.keep_alive && (self.drain_phase < DrainPhase::ClosingAfterAnswer || pipelined);
         let message = http::response(status, headers, keep, body);
-        if hands.net.send(conn, &message).is_err() {
+        if context.net.send(conn, &message).is_err() {
             tracing::warn!("client {} closed: it does not read its answers", client.peer);
-            self.close(conn, hands);
+            self.close(conn, context);
         } else if !keep {
             // Guards the answer: the client may have sent more behind its last request.
-            hands.net.close_lingering(conn, hands.now);
-            self.gone(conn, hands);
+            context.net.close_lingering(conn, context.now);
+            self.forget(conn, context);
         } else {
-            self.places.request_answered(conn, hands.now);
+            self.slots.request_answered(conn, context.now);
         }
     }
 
@@ -314,9 +314,9 @@
         &mut self,
         query: QueryId,
         answer: QueryOutcome<String>,
-        hands: &mut FrontendContext<RequestContext, String>,
+        context: &mut FrontendContext<RequestContext, String>,
     ) {
-        let Some(conn) = self.waiting.remove(&query) else { return };
+        let Some(conn) = self.by_query.remove(&query) else { return };
         if let Some(client) = self.clients.get_mut(&conn) {
             (client.query, client.id) = (None, None);
         }
@@ -327,67 +327,67 @@
                 // No body on this port is larger; half an answer would be worse than none.
                 if body.len() > MAX_BODY {
                     tracing::error!("an answer of {} bytes is larger than may be", body.len());
-                    self.reply(conn, 502, &[], b"", hands);
+                    self.reply(conn, 502, &[], b"", context);
                 } else {
-                    self.reply(conn, 200, &json, &body, hands);
+                    self.reply(conn, 200, &json, &body, context);
                 }
             }
-            QueryOutcome::Rejected { retry_after: wait } => self.refuse(conn, wait, hands),
-            QueryOutcome::Failed => self.reply(conn, 504, &[], b"", hands),
+            QueryOutcome::Rejected { retry_after: wait } => self.refuse(conn, wait, context),
+            QueryOutcome::Failed => self.reply(conn, 504, &[], b"", context),
         }
         // What the client sent ahead is read now.
-        self.work(conn, hands);
+        self.parse_input(conn, context);
         if self.clients.contains_key(&conn) {
-            self.read(conn, hands);
+            self.read(conn, context);
         }
     }
 
     /// Whether it is ready, for those who ask.
-    pub fn ready(&mut self, ready: bool) {
-        self.draining = !ready;
+    pub fn set_ready(&mut self, ready: bool) {
+        self.not_ready = !ready;
     }
 
     /// How clients are to be treated from now on.
-    pub fn step(&mut self, step: DrainPhase) {
-        self.leaving = step;
+    pub fn set_drain_phase(&mut self, phase: DrainPhase) {
+        self.drain_phase = phase;
     }
 
     /// Reads once more whatever has come, then closes connections that ask for nothing.
-    pub fn close_idle(&mut self, hands: &mut Platform) {
+    pub fn close_idle(&mut self, context: &mut Context) {
         let conns: Vec<ConnId> = self.clients.keys().copied().collect();
         for conn in conns {
-            self.read(conn, hands);
-            if self.places.is_fresh(conn, hands.now) {
+            self.read(conn, context);
+            if self.slots.is_fresh(conn, context.now) {
                 continue;
             }
             // A part of a head that is in stands in the buffer: the rest of it is on its way.
-            let rests = self.clients.get(&conn).is_some_and(|c| c.query.is_none() && c.reader.is_idle());
-            if rests && hands.net.data(conn).is_empty() {
+            let is_idle = self.clients.get(&conn).is_some_and(|c| c.query.is_none() && c.reader.is_idle());
+            if is_idle && context.net.data(conn).is_empty() {
                 // A request may come in this moment: it is not read, and the answers before it are.
-                hands.net.close_lingering(conn, hands.now);
-                self.gone(conn, hands);
+                context.net.close_lingering(conn, context.now);
+                self.forget(conn, context);
             }
         }
     }
 
     /// Closes connections that have had their time to ask. Who sent a part of a request is told.
-    pub fn tick(&mut self, hands: &mut Platform) {
+    pub fn tick(&mut self, context: &mut Context) {
         // Who was answered meanwhile may have to go for those that wait to be accepted.
-        self.make_room(hands);
-        while let Some(conn) = self.places.excess_idle() {
-            self.read(conn, hands);
-            if self.places.excess_idle() == Some(conn) {
+        self.close_excess(context);
+        while let Some(conn) = self.slots.excess_idle() {
+            self.read(conn, context);
+            if self.slots.excess_idle() == Some(conn) {
                 tracing::debug!("client connection closed for those that come next");
-                self.close(conn, hands);
+                self.close(conn, context);
             }
         }
-        while let Some(conn) = self.places.overdue(hands.now) {
-            let Some(client) = self.clients.get(&conn) else { return self.places.remove(conn) };
+        while let Some(conn) = self.slots.overdue(context.now) {
+            let Some(client) = self.clients.get(&conn) else { return self.slots.remove(conn) };
             tracing::info!("client {} closed: nothing came for too long", client.peer);
-            if client.reader.is_idle() && hands.net.data(conn).is_empty() {
-                self.close(conn, hands);
+            if client.reader.is_idle() && context.net.data(conn).is_empty() {
+                self.close(conn, context);
             } else {
-                self.part_with(conn, &http::response(408, &[], false, b""), hands);
+                self.close_with_response(conn, &http::response(408, &[], false, b""), context);
             }
         }
     }
--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -22,27 +22,27 @@
 
 const CLIENTS: u8 = 0;
 const SERVERS: u8 = 1;
-const ROSTER: u8 = 2;
+const DISCOVERY: u8 = 2;
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
 /// Descriptors kept for what is neither a client nor a shard server.
-const SPARE: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Part of the descriptors that connections to shard servers may take.
-const TO_SERVERS: usize = 2;
+const UPSTREAM_DIVISOR: usize = 2;
 /// Part of the descriptors that clients who have asked may hold. Clients keep to a third of them: this leaves
 /// room for those that come next.
-const CLIENTS_KEPT: usize = 4;
+const QUERIED_CLIENTS_DIVISOR: usize = 4;
 /// Longest silence of a shard server's connection that is still called on, whatever the aims.
-const SILENT: Nanos = 4_000_000_000;
+const MAX_SILENCE_TIMEOUT: Nanos = 4_000_000_000;
 /// Time without a request after which a client's connection is closed.
-const IDLE: Nanos = 60_000_000_000;
+const CLIENT_IDLE_TIMEOUT: Nanos = 60_000_000_000;
 /// Mean time between two changes of one server, until discovery has shown another: about a release a day.
-const CHANGES_EVERY: Nanos = 24 * 3_600_000_000_000;
+const MEAN_CHANGE_INTERVAL: Nanos = 24 * 3_600_000_000_000;
 /// Age of a list that does not tell its own.
-const PRESUMED_AGE: Nanos = 300_000_000_000;
+const DEFAULT_LIST_AGE: Nanos = 300_000_000_000;
 /// Part of the memory that buffers may take.
-const BUFFERS: usize = 4;
+const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// The platform's port: clients, shard servers and discovery.
 pub struct PlatformFrontend {
@@ -50,124 +50,127 @@
     servers: Upstream,
     membership: MembershipDriver,
     /// What is read again when the word comes.
-    file: Option<PathBuf>,
+    config_file: Option<PathBuf>,
     reload_retry: ReloadRetry,
     /// Descriptors for neither clients nor shard servers.
-    apart: usize,
+    admin_descriptors: usize,
 }
 
 /// Connections to shard servers and from clients for so many descriptors, of which `apart` are for neither.
-fn divide(descriptors: usize, apart: usize) -> (usize, usize) {
-    let both = descriptors.saturating_sub(SPARE + apart);
-    (both / TO_SERVERS, both - both / TO_SERVERS)
+fn divide_descriptors(descriptors: usize, admin_descriptors: usize) -> (usize, usize) {
+    let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS + admin_descriptors);
+    (available / UPSTREAM_DIVISOR, available - available / UPSTREAM_DIVISOR)
 }
 
 /// Builds a broker that listens; tells where.
-pub fn broker(told: PlatformConfig) -> Result<(Broker<PlatformFrontend>, SocketAddr), BrokerError> {
-    let (settings, names) = config::settings(&told.params).map_err(ConfigError::from)?;
+pub fn broker(config: PlatformConfig) -> Result<(Broker<PlatformFrontend>, SocketAddr), BrokerError> {
+    let (settings, names) = config::settings(&config.params).map_err(ConfigError::from)?;
     let clock = Clock::start();
     let now = clock.now();
     // Guards the limit on descriptors: what connections to shard servers may take is not given to clients. In a
     // large fleet a broker meets more servers than clients: with a place for each server none is dialled twice.
-    let apart = told.ops.map_or(0, |_| admin::MAX_CONNECTIONS);
-    let (to_servers, most) = divide(told.sockets, apart);
-    let mut net = PollLoop::new(Pool::with_byte_limit((told.memory_mb << 20) / BUFFERS), most)
-        .map_err(BrokerError::io("poll"))?;
-    let grace = told.params.drain_grace();
+    let admin_descriptors = config.ops.map_or(0, |_| admin::MAX_CONNECTIONS);
+    let (max_upstream, max_clients) = divide_descriptors(config.sockets, admin_descriptors);
+    let mut net =
+        PollLoop::new(Pool::with_byte_limit((config.memory_mb << 20) / BUFFER_MEMORY_DIVISOR), max_clients)
+            .map_err(BrokerError::io("poll"))?;
+    let grace = config.params.drain_grace();
     let grace_ms = grace / NANOS_PER_MILLI;
     let max_poll_interval_ms = settings.max_poll_interval / NANOS_PER_MILLI;
     let endpoint_discovery = settings.discovery;
     tracing::info!(?endpoint_discovery, max_poll_interval_ms, grace_ms, "settings of the endpoint list");
     let limits = UpstreamLimits {
-        streams: told.params.streams(),
-        dial_timeout: told.params.dial_timeout(),
-        idle_timeout: told.params.idle(),
+        streams: config.params.streams(),
+        dial_timeout: config.params.dial_timeout(),
+        idle_timeout: config.params.idle(),
         silence_timeout: settings
             .classes
             .iter()
             .map(|c| c.latency_objective)
             .min()
-            .unwrap_or(SILENT)
-            .min(SILENT),
-        max_connections: to_servers,
+            .unwrap_or(MAX_SILENCE_TIMEOUT)
+            .min(MAX_SILENCE_TIMEOUT),
+        max_connections: max_upstream,
     };
     let mut servers = Upstream::new(SERVERS, limits);
-    let (kept, keeper) = told.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
-    let mut roster = Registry::new(RegistrySettings {
+    let (cached, snapshot_writer) = config.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
+    let mut registry = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
         warm_up: settings.slow_start_time,
-        mean_change_interval: CHANGES_EVERY,
-        default_list_age: PRESUMED_AGE,
+        mean_change_interval: MEAN_CHANGE_INTERVAL,
+        default_list_age: DEFAULT_LIST_AGE,
         silence_timeout: limits.silence_timeout / 5,
         zones: names.zones().clone(),
         kinds: Vec::new(),
-        seed: told.seed,
+        seed: config.seed,
     });
-    let limits_of_all = SharedLimits {
-        descriptors: told.sockets,
+    let shared_limits = SharedLimits {
+        descriptors: config.sockets,
         max_in_flight: settings.max_in_flight as usize,
         retry_budget_window: settings.retry_budget.map_or(0, |b| b.window),
     };
-    let handed = told.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, limits_of_all, now));
-    if let Some(joined) = &handed {
-        roster.restore(&joined.snapshots, now);
+    let hot_restart_group =
+        config.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, shared_limits, now));
+    if let Some(joined) = &hot_restart_group {
+        registry.restore(&joined.snapshots, now);
     }
-    roster.restore(&kept, now);
-    if let Some(list) = &told.known {
-        roster.add_configured(list, now);
+    registry.restore(&cached, now);
+    if let Some(list) = &config.known {
+        registry.add_configured(list, now);
     }
-    let out = handed
+    let suspended = hot_restart_group
         .iter()
         .flat_map(|joined| joined.overrides.suspended_servers())
         .map(str::to_owned)
         .collect::<Vec<_>>();
-    let dial_timeout = told.params.dial_timeout();
+    let dial_timeout = config.params.dial_timeout();
     let (schedule, terms) = match settings.discovery {
         Discovery::Pushed => {
-            (WatchSchedule::for_pushed_lists(dial_timeout, grace, told.seed), LeaseTerms::for_pushed(grace))
+            (WatchSchedule::for_pushed_lists(dial_timeout, grace, config.seed), LeaseTerms::for_pushed(grace))
         }
         Discovery::Polled => (
-            WatchSchedule::for_shared_discovery(dial_timeout, grace, settings.brokers, told.seed),
+            WatchSchedule::for_shared_discovery(dial_timeout, grace, settings.brokers, config.seed),
             LeaseTerms::for_polled(grace),
         ),
     };
-    let mut watch = DiscoveryWatch::new(ROSTER, told.discovery, schedule);
+    let mut watch = DiscoveryWatch::new(DISCOVERY, config.discovery, schedule);
     match settings.discovery {
         // What is pushed counts as told whether or not a watch is open: one has to be, from the first moment on.
         Discovery::Pushed => watch.request(now),
         Discovery::Polled => watch.request_soon(now),
     }
-    let mut membership =
-        MembershipDriver::new(roster, keeper).with_suspended(out).with_watch(watch, terms, now);
+    let mut membership = MembershipDriver::new(registry, snapshot_writer)
+        .with_suspended(suspended)
+        .with_watch(watch, terms, now);
     let clients = Downstream::new(
         names,
         settings.shards,
-        ConnectionSlots::new(most, told.sockets / CLIENTS_KEPT, IDLE),
+        ConnectionSlots::new(max_clients, config.sockets / QUERIED_CLIENTS_DIVISOR, CLIENT_IDLE_TIMEOUT),
     );
-    let mut exchange = QueryEngine::new(settings, told.seed, now).map_err(ConfigError::rejected)?;
-    let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.propagate_changes(&mut hands, |c| servers.set_address(c.entry.replica, c.addr));
+    let mut engine = QueryEngine::new(settings, config.seed, now).map_err(ConfigError::rejected)?;
+    let mut context = FrontendContext { now, net: &mut net, engine: &mut engine };
+    membership.propagate_changes(&mut context, |c| servers.set_address(c.entry.replica, c.addr));
     // The list of servers is in before the first client can come.
-    exchange.advance(now);
-    let listening = match told.inherited {
-        Some(fd) => inherited::listener(fd, told.listen).and_then(|l| net.listen_on(l, CLIENTS)),
-        None => net.listen(told.listen, CLIENTS),
+    engine.advance(now);
+    let listening = match config.inherited {
+        Some(fd) => inherited::listener(fd, config.listen).and_then(|l| net.listen_on(l, CLIENTS)),
+        None => net.listen(config.listen, CLIENTS),
     };
     let listening = listening.map_err(BrokerError::io("listen"))?;
-    tracing::info!("{} listens at {listening}", told.name);
-    let front = PlatformFrontend {
+    tracing::info!("{} listens at {listening}", config.name);
+    let frontend = PlatformFrontend {
         clients,
         servers,
         membership,
-        file: told.file,
+        config_file: config.file,
         reload_retry: ReloadRetry::default(),
-        apart,
+        admin_descriptors,
     };
-    let mut broker = BrokerBuilder::new(clock, net, exchange, front);
-    if let Some(ops) = told.ops {
+    let mut broker = BrokerBuilder::new(clock, net, engine, frontend);
+    if let Some(ops) = config.ops {
         broker.listen_admin(ops);
     }
-    if let Some(joined) = handed {
+    if let Some(joined) = hot_restart_group {
         broker.join_hot_restart(joined.hot_restart, joined.overrides);
     }
     Ok((broker.build()?, listening))
@@ -176,11 +179,11 @@
 impl PlatformFrontend {
     /// Reads the configuration again; the watch on discovery moves with the next tick.
     fn read_configuration(&mut self, now: Nanos) {
-        let Some(file) = &self.file else { return };
+        let Some(file) = &self.config_file else { return };
         match PlatformConfig::from_file(file) {
-            Ok(told) => {
+            Ok(config) => {
                 self.reload_retry.clear();
-                self.membership.set_discovery_address(told.discovery, now);
+                self.membership.set_discovery_address(config.discovery, now);
             }
             // Guards the service against a file that is half written or wrong: what it was told before stays.
             Err(e) => {
@@ -197,40 +200,40 @@
     type Query = RequestContext;
     type Value = String;
 
-    fn on_event(&mut self, event: NetEvent, hands: &mut FrontendContext<RequestContext, String>) {
+    fn on_event(&mut self, event: NetEvent, context: &mut FrontendContext<RequestContext, String>) {
         match event.owner() {
-            Some(CLIENTS) => self.clients.event(event, hands),
-            Some(SERVERS) => self.servers.event(event, hands),
-            Some(ROSTER) => self.membership.on_event(event, hands.now, hands.net),
+            Some(CLIENTS) => self.clients.event(event, context),
+            Some(SERVERS) => self.servers.event(event, context),
+            Some(DISCOVERY) => self.membership.on_event(event, context.now, context.net),
             _ => {}
         }
     }
 
-    fn tick(&mut self, hands: &mut FrontendContext<RequestContext, String>) {
-        if self.reload_retry.is_due(hands.now) {
-            self.read_configuration(hands.now);
+    fn tick(&mut self, context: &mut FrontendContext<RequestContext, String>) {
+        if self.reload_retry.is_due(context.now) {
+            self.read_configuration(context.now);
         }
-        self.servers.tick(hands);
-        self.clients.tick(hands);
-        self.membership.tick(hands, |c| self.servers.set_address(c.entry.replica, c.addr));
+        self.servers.tick(context);
+        self.clients.tick(context);
+        self.membership.tick(context, |c| self.servers.set_address(c.entry.replica, c.addr));
     }
 
     fn perform(
         &mut self,
-        work: EngineAction<RequestContext, String>,
-        hands: &mut FrontendContext<RequestContext, String>,
+        action: EngineAction<RequestContext, String>,
+        context: &mut FrontendContext<RequestContext, String>,
     ) {
-        match work {
-            EngineAction::Call { replica, parts } => self.servers.call(replica, parts, hands),
-            EngineAction::CancelAttempt { attempt, .. } => self.servers.give_up(attempt, hands.net),
-            EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, hands),
+        match action {
+            EngineAction::Call { replica, parts } => self.servers.call(replica, parts, context),
+            EngineAction::CancelAttempt { attempt, .. } => self.servers.cancel_attempt(attempt, context.net),
+            EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, context),
             EngineAction::WatchEndpoints => {
-                self.membership.request_watch(hands.now, hands.net);
+                self.membership.request_watch(context.now, context.net);
                 self.membership
-                    .propagate_changes(hands, |c| self.servers.set_address(c.entry.replica, c.addr));
+                    .propagate_changes(context, |c| self.servers.set_address(c.entry.replica, c.addr));
             }
             // Shard servers on this port are not probed; the settings forbid it.
-            EngineAction::HealthCheck { replica } => hands.engine.health_checked(replica, false, 0, None),
+            EngineAction::HealthCheck { replica } => context.engine.health_checked(replica, false, 0, None),
         }
     }
 
@@ -243,21 +246,21 @@
     }
 
     fn set_ready(&mut self, ready: bool) {
-        self.clients.ready(ready);
+        self.clients.set_ready(ready);
     }
 
-    fn set_drain_phase(&mut self, step: DrainPhase) {
-        self.clients.step(step);
+    fn set_drain_phase(&mut self, phase: DrainPhase) {
+        self.clients.set_drain_phase(phase);
     }
 
     /// Discovery alone may move while the broker serves; all else holds from the start to the end.
-    fn reload(&mut self, hands: &mut FrontendContext<RequestContext, String>) {
+    fn reload(&mut self, context: &mut FrontendContext<RequestContext, String>) {
         self.reload_retry.clear();
-        self.read_configuration(hands.now);
+        self.read_configuration(context.now);
     }
 
-    fn close_idle(&mut self, hands: &mut FrontendContext<RequestContext, String>) {
-        self.clients.close_idle(hands);
+    fn close_idle(&mut self, context: &mut FrontendContext<RequestContext, String>) {
+        self.clients.close_idle(context);
     }
 
     fn listeners(&self) -> &[u8] {
@@ -282,13 +285,14 @@
 
     fn limit_descriptors(&mut self, descriptors: usize, net: &mut PollLoop) {
         // What is held stays; only the rest is divided. Callers at the second address may still come.
-        let rest = descriptors.saturating_sub(
-            net.descriptors() + self.apart - net.accepted_in_class(ConnectionClass::Admin).min(self.apart),
+        let remaining = descriptors.saturating_sub(
+            net.descriptors() + self.admin_descriptors
+                - net.accepted_in_class(ConnectionClass::Admin).min(self.admin_descriptors),
         );
-        let servers = self.servers.links() + rest / 2;
-        let clients = net.accepted() + rest - rest / 2;
-        self.servers.keep_to(servers);
-        self.clients.keep_to(clients, (descriptors / CLIENTS_KEPT).min(clients));
+        let servers = self.servers.links() + remaining / 2;
+        let clients = net.accepted() + remaining - remaining / 2;
+        self.servers.set_max_connections(servers);
+        self.clients.set_connection_limits(clients, (descriptors / QUERIED_CLIENTS_DIVISOR).min(clients));
         net.set_accepted_limit(clients);
     }
 
@@ -297,6 +301,6 @@
     }
 
     fn reserve_ids(&mut self, ids: &[String], now: Nanos) {
-        self.clients.ids_in_use(ids, now);
+        self.clients.reserve_ids(ids, now);
     }
 }
--- a/src/frontends/platform/query.rs
+++ b/src/frontends/platform/query.rs
@@ -23,11 +23,11 @@
 }
 
 /// Longest request id.
-const MAX_ID: usize = 128;
+const MAX_ID_BYTES: usize = 128;
 /// What the shares of a query's parts may miss 1 by: clients round them.
-const ROUNDED: f64 = 1e-3;
+const WEIGHT_SUM_TOLERANCE: f64 = 1e-3;
 /// Longest time a client may ask for.
-const MAX_WAIT: f64 = 3_600_000.0;
+const MAX_TIME_LEFT_MS: f64 = 3_600_000.0;
 
 /// Reads a query over so many shards; says in a few words what is wrong with one that can't be used.
 pub fn read(
@@ -38,13 +38,13 @@
 ) -> Result<QueryRequest<RequestContext>, &'static str> {
     let id = head.header("req-id").ok_or("no Req-Id")?;
     // Guards the frames that the id stands in: it must be one word.
-    if id.is_empty() || id.len() > MAX_ID || !id.bytes().all(|b| b.is_ascii_graphic()) {
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err("an unusable Req-Id");
     }
     let class = head.header("req-kind").ok_or("no Req-Kind")?;
     let class = names.class(class).ok_or("an unknown class")?;
     let time_left = head.header("req-deadline").ok_or("no Req-Deadline")?;
-    let time_left = duration(time_left).ok_or("an unusable Req-Deadline")?;
+    let time_left = parse_duration(time_left).ok_or("an unusable Req-Deadline")?;
     // Traffic of nobody known has no share to keep to.
     let tenant = head.header("req-owner").and_then(|name| names.tenant(name));
     let key = head.header("cookie").and_then(cookie_key);
@@ -55,8 +55,8 @@
     let mut seen = vec![false; shards as usize];
     let mut parts = Vec::with_capacity(body.segments.len());
     for s in &body.segments {
-        let place = seen.get_mut(s.segment as usize).ok_or("a shard that is not there")?;
-        if std::mem::replace(place, true) {
+        let is_seen = seen.get_mut(s.segment as usize).ok_or("a shard that is not there")?;
+        if std::mem::replace(is_seen, true) {
             return Err("a shard that is named twice");
         }
         if !(0.0..=1.0).contains(&s.boost) {
@@ -66,23 +66,23 @@
         parts.push(PartRequest { shard: s.segment, weight: s.boost, work });
     }
     // Guards the rule on partial answers: shares that are none would make any answer look whole.
-    if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > ROUNDED {
+    if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err("boosts that do not add up to 1");
     }
-    let again = head.header("req-retry") == Some("1");
+    let retried = head.header("req-retry") == Some("1");
     let payload = Rc::new(RequestContext { id: id.into(), text: body.text });
-    Ok(QueryRequest { class, tenant, key, time_left, is_retry: again, parts, payload })
+    Ok(QueryRequest { class, tenant, key, time_left, is_retry: retried, parts, payload })
 }
 
 /// A number plus a unit: `m` for milliseconds or `u` for microseconds.
-fn duration(text: &str) -> Option<Nanos> {
+fn parse_duration(text: &str) -> Option<Nanos> {
     let scale = match text.as_bytes().last()? {
         b'm' => 1.0,
         b'u' => 1e-3,
         _ => return None,
     };
     let ms = text[..text.len() - 1].parse::<f64>().ok()? * scale;
-    (ms.is_finite() && ms >= 0.0).then(|| (ms.min(MAX_WAIT) * 1e6) as Nanos)
+    (ms.is_finite() && ms >= 0.0).then(|| (ms.min(MAX_TIME_LEFT_MS) * 1e6) as Nanos)
 }
 
 fn cookie_key(cookies: &str) -> Option<u64> {
