--- a/src/frontends/connection_slots.rs
+++ b/src/frontends/connection_slots.rs
@@ -1,30 +1,31 @@
-//! The places for client connections: how long a client may take to ask, and who has to go when there are no
-//! more places.
+//! Limits on client connections: how long a client may take to send a request, and which connection is closed
+//! when there are too many.
 //!
-//! Guards the usual clients against crowds that connect and say nothing, send half a request, or ask once and
-//! stay: those are closed first, the longest silent before all others.
+//! Protects regular clients from large numbers of connections that send nothing, send part of a request, or
+//! send one request and stay open. Those are closed first, beginning with the one that was silent for
+//! longest.
 
 use crate::api::Nanos;
 use crate::net::ConnId;
 use std::collections::{BTreeSet, HashMap};
 
-/// Time in which a request must be in whole, from the connection's start or from the first byte of a further
-/// request.
+/// Time within which a request must be received completely, ns. It starts when the connection is accepted or,
+/// for a later request, at its first byte.
 pub const REQUEST_TIMEOUT: Nanos = 2_500_000_000;
 
-/// How long a new connection counts as one whose first request is on its way.
+/// How long the first request of a silent connection is assumed to be in transit, ns.
 const FIRST_REQUEST_GRACE: Nanos = 200_000_000;
 
-/// What a connection without an open request is doing, in the order in which they have to go.
+/// What a connection without an open request is waiting for. Connections are closed in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitState {
-    /// It has asked nothing yet, and nothing has come.
+    /// No query was admitted on it, and nothing of the next request has been received.
     Silent,
-    /// It has asked nothing yet, and a part of a request has come.
+    /// No query was admitted on it, and part of the next request has been received.
     FirstPartial,
-    /// It asked before.
+    /// A query was admitted on it, and nothing of the next request has been received.
     Idle,
-    /// It asked before, and a part of a further request has come.
+    /// A query was admitted on it, and part of the next request has been received.
     NextPartial,
 }
 
@@ -33,13 +34,13 @@
 
 #[derive(Debug, Default)]
 struct Slot {
-    /// A query of it was taken.
+    /// Whether a query was admitted on it.
     has_queried: bool,
-    /// What it is doing, and since when; nothing while a request is open.
+    /// What it waits for, and since when. `None` while a request is open.
     wait: Option<(WaitState, Nanos)>,
 }
 
-/// The places of one front's clients.
+/// The open client connections of one frontend, and their limits.
 #[derive(Debug)]
 pub struct ConnectionSlots {
     max_connections: usize,
@@ -47,12 +48,13 @@
     queried: usize,
     idle_timeout: Nanos,
     slots: HashMap<ConnId, Slot>,
-    /// The connections of each kind, the longest waiting first.
+    /// The connections in each wait state, the longest waiting first.
     waiting: [BTreeSet<(Nanos, ConnId)>; 4],
 }
 
 impl ConnectionSlots {
-    /// So many places, of which so many for who has asked. Those may stay without asking for the time `idle`.
+    /// Allows `max_connections` connections, of which `max_queried` may have had a query admitted. Those may
+    /// be idle for `idle_timeout`.
     pub fn new(max_connections: usize, max_queried: usize, idle_timeout: Nanos) -> ConnectionSlots {
         ConnectionSlots {
             max_connections,
@@ -64,23 +66,23 @@
         }
     }
 
-    /// From now on there are so many places, of which so many for who has asked.
+    /// Changes the limits on all connections and on those on which a query was admitted.
     pub fn set_limits(&mut self, max_connections: usize, max_queried: usize) {
         (self.max_connections, self.max_queried) = (max_connections, max_queried);
     }
 
-    /// How many places there are.
+    /// Maximum number of connections.
     pub fn max_connections(&self) -> usize {
         self.max_connections
     }
 
-    /// A connection was accepted.
+    /// Adds a connection that was accepted.
     pub fn add(&mut self, conn: ConnId, now: Nanos) {
         self.slots.insert(conn, Slot::default());
         self.set(conn, Some((WaitState::Silent, now)));
     }
 
-    /// A connection is gone.
+    /// Removes a connection that was closed.
     pub fn remove(&mut self, conn: ConnId) {
         self.set(conn, None);
         if self.slots.remove(&conn).is_some_and(|h| h.has_queried) {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// A query of it was taken: until that is answered it is not closed.
+    /// Records that a query was admitted on it. It is not closed until the query is answered.
     pub fn query_admitted(&mut self, conn: ConnId) {
         self.set(conn, None);
         if let Some(slot) = self.slots.get_mut(&conn) {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// A part of a request is in.
+    /// Records that part of a request was received.
     pub fn partial_request(&mut self, conn: ConnId, now: Nanos) {
         let Some(slot) = self.slots.get(&conn) else { return };
         let wait = match slot.wait {
@@ -108,20 +110,20 @@
         self.set(conn, Some(wait));
     }
 
-    /// A request of it was answered, and nothing of a further one is in.
+    /// Records that a request was answered and that nothing of a further one has been received.
     pub fn request_answered(&mut self, conn: ConnId, now: Nanos) {
         let Some(slot) = self.slots.get(&conn) else { return };
         let state = if slot.has_queried { WaitState::Idle } else { WaitState::Silent };
         self.set(conn, Some((state, now)));
     }
 
-    /// Whether it has only just come to wait for a request: the first may be on its way.
+    /// Whether it began to wait for its first request so recently that the request may be in transit.
     pub fn is_fresh(&self, conn: ConnId, now: Nanos) -> bool {
         let wait = self.slots.get(&conn).and_then(|h| h.wait);
         wait.is_some_and(|(state, since)| state == WaitState::Silent && now < since + FIRST_REQUEST_GRACE)
     }
 
-    /// A connection whose time is over.
+    /// A connection that exceeds its time limit.
     pub fn overdue(&self, now: Nanos) -> Option<ConnId> {
         let longest_waiting =
             WAIT_STATES.iter().filter_map(|s| Some((s, self.waiting[*s as usize].first()?)));
@@ -131,32 +133,34 @@
             .map(|(_, (_, conn))| *conn)
     }
 
-    /// When one will be.
+    /// When the next connection exceeds its time limit.
     pub fn due(&self) -> Option<Nanos> {
         WAIT_STATES.iter().filter_map(|s| Some(self.waiting[*s as usize].first()?.0 + self.timeout(*s))).min()
     }
 
-    /// Who has to go for another connection's sake; nobody while all have open requests.
+    /// The connection to close in favour of another. `None` while all have open requests.
     pub fn eviction_candidate(&self) -> Option<ConnId> {
         self.waiting.iter().find_map(|w| w.first()).map(|(_, conn)| *conn)
     }
 
-    /// Whether nothing was ever asked on it or a request is coming in: a close alone would leave that unanswered.
+    /// Whether no query was admitted on it or a request is being received. If it is closed without a
+    /// response, that request stays unanswered.
     pub fn may_have_request(&self, conn: ConnId) -> bool {
         let wait = self.slots.get(&conn).and_then(|h| h.wait);
         wait.is_some_and(|(state, _)| state != WaitState::Idle)
     }
 
-    /// Who has to go because too many who have asked are held: the one idle for longest.
+    /// The connection that was idle for longest, if too many connections on which a query was admitted are
+    /// open.
     ///
-    /// Guards clients that may hold only so many connections in all: one that asks once and stays would keep
-    /// the next from asking.
+    /// Clients may be limited in their total number of connections: connections that stay open after one
+    /// request would keep further ones from being opened.
     pub fn excess_idle(&self) -> Option<ConnId> {
         let idle = self.waiting[WaitState::Idle as usize].first().filter(|_| self.queried > self.max_queried);
         idle.map(|(_, conn)| *conn)
     }
 
-    /// Who has to go so that a buffer becomes free: one that holds a part of a request.
+    /// The connection to close to free a buffer: one other than `except` that holds part of a request.
     pub fn buffer_holder(&self, except: ConnId) -> Option<ConnId> {
         let states = [WaitState::FirstPartial, WaitState::NextPartial].into_iter();
         let mut conns = states.flat_map(|s| self.waiting[s as usize].iter().map(|(_, conn)| *conn));
--- a/src/frontends/mod.rs
+++ b/src/frontends/mod.rs
@@ -1,4 +1,4 @@
-//! Frontends: what turns a wire's messages into queries and calls, and back.
+//! Frontends, which translate between the messages of a protocol and the engine's queries and calls.
 
 pub mod catalogue;
 pub mod connection_slots;
