--- a/src/frontends/platform/downstream.rs
+++ b/src/frontends/platform/downstream.rs
@@ -1,4 +1,4 @@
-//! The client side: HTTP connections that hand queries to the exchange and wait for its answers.
+//! The client side: HTTP connections that submit queries to the engine and wait for their answers.
 
 use super::RequestContext;
 use super::query;
@@ -15,12 +15,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most reads of one connection at a time.
+/// Maximum number of reads from one connection before the others get their turn.
 const MAX_READS: usize = 4;
 
 struct Client {
     reader: Reader,
-    /// The query it waits for, and its id on the wire.
+    /// The query whose answer is pending, and its request id.
     query: Option<QueryId>,
     id: Option<Rc<str>>,
     keep_alive: bool,
@@ -35,7 +35,7 @@
     by_query: HashMap<QueryId, ConnId>,
     slots: ConnectionSlots,
     recent_ids: RecentRequestIds,
-    /// Not ready, and how far clients are sent away.
+    /// Whether readiness checks fail, and the drain phase, which determines how clients are treated.
     not_ready: bool,
     drain_phase: DrainPhase,
 }
@@ -43,7 +43,7 @@
 type Context<'a> = FrontendContext<'a, RequestContext, String>;
 
 impl Downstream {
-    /// The client side, with the classes' names, and its places.
+    /// The client side. `names` resolves classes and tenants, and `slots` limits the connections.
     pub fn new(names: Names, shards: u32, slots: ConnectionSlots) -> Downstream {
         let (clients, by_query, recent_ids) = (HashMap::new(), HashMap::new(), RecentRequestIds::default());
         Downstream {
@@ -58,29 +58,29 @@
         }
     }
 
-    /// No connection is held.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// From now on there are so many places, of which so many for who has asked.
+    /// Changes the limits on all connections and on those on which a query was admitted.
     pub fn set_connection_limits(&mut self, max_connections: usize, max_queried: usize) {
         self.slots.set_limits(max_connections, max_queried);
     }
 
-    /// Ids of open queries.
+    /// Request ids of open queries.
     pub fn open_ids(&self) -> Vec<String> {
         self.clients.values().filter_map(|c| c.id.as_ref()).map(|id| id.to_string()).collect()
     }
 
-    /// Ids that another process has in use.
+    /// Reserves request ids that are in use at another process.
     pub fn reserve_ids(&mut self, ids: &[String], now: Nanos) {
         for id in ids {
             self.recent_ids.insert(now, id.as_str().into());
         }
     }
 
-    /// The classes' names in the order of the settings.
+    /// Names of the query classes, in the order of the settings.
     pub fn class_names(&self) -> Vec<String> {
         self.names.classes()
     }
@@ -90,7 +90,7 @@
         self.slots.due()
     }
 
-    /// Takes in what happened on one of its connections.
+    /// Handles an event of one of the connections.
     pub fn event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Accepted { conn, peer, .. } => {
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Closes whom the places name while there are too many.
+    /// Closes connections while more are open than the limit.
     fn close_excess(&mut self, context: &mut Context) {
         while context.net.accepted() > self.slots.max_connections() && !context.net.close_oldest_lingering() {
             let Some(conn) = self.slots.eviction_candidate() else { return };
-            // Who has asked meanwhile stays.
+            // A connection on which a request has arrived meanwhile stays open.
             self.read(conn, context);
             if self.slots.eviction_candidate() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
@@ -144,7 +144,7 @@
         for _ in 0..MAX_READS {
             match context.net.fill(conn) {
                 ReadOutcome::Read(_) => self.parse_input(conn, context),
-                // What a client sends ahead of its answer stays unread once the buffer is full.
+                // Once the buffer is full, requests that were pipelined behind an open one stay unread.
                 ReadOutcome::BufferFull => {
                     self.parse_input(conn, context);
                     if self.clients.get(&conn).is_none_or(|c| c.query.is_some()) {
@@ -154,7 +154,7 @@
                 ReadOutcome::WouldBlock => return,
                 ReadOutcome::NoBuffer if context.net.peer_ended(conn) => return self.close(conn, context),
                 ReadOutcome::NoBuffer => {
-                    // Guards those who ask against those who hold the buffers with half a request.
+                    // Protects this client from clients that hold buffers with partial requests.
                     self.free_buffer(conn, context);
                     return;
                 }
@@ -167,22 +167,24 @@
         context.net.requeue_readable(conn);
     }
 
-    /// Guards against work for a client that has gone, the end of whose connection can't be read for what lies before.
+    /// Closes the connection if the client has ended it, which a read can't detect while the buffer is full.
+    /// Otherwise the open query would be served for a client that has disconnected.
     fn close_if_ended(&mut self, conn: ConnId, context: &mut Context) {
         if context.net.peer_ended(conn) {
             self.close(conn, context);
         }
     }
 
-    /// Closes who holds a buffer with a part of a request, for another's sake. False if there is nobody.
+    /// Closes a connection other than `except` that holds a buffer with part of a request. Returns false if
+    /// there is none.
     fn free_buffer(&mut self, except: ConnId, context: &mut Context) -> bool {
         let Some(other) = self.slots.buffer_holder(except) else { return false };
-        tracing::debug!("client connection closed for its buffer");
+        tracing::debug!("client connection closed to free its buffer");
         self.close(other, context);
         true
     }
 
-    /// Parses what is there, and takes requests for as long as none waits for its answer.
+    /// Parses the received data and handles requests until one has to wait for its answer.
     fn parse_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.query.is_none()) else { return };
@@ -190,7 +192,7 @@
             let had_head = client.reader.head().is_some();
             let consumed = match client.reader.advance(context.net.data(conn), &pool) {
                 Ok(consumed) => consumed,
-                // Guards a whole request against those who hold the buffers with half a one.
+                // Protects this request from clients that hold buffers with partial ones.
                 Err(HttpError::NoBuffer) => {
                     if self.free_buffer(conn, context) {
                         continue;
@@ -222,7 +224,7 @@
         self.close_with_response(conn, &http::response(e.status(), &[], false, b""), context);
     }
 
-    /// Tells a client what was wrong and closes, though it may be in the middle of a request.
+    /// Sends a response and closes the connection, even if the client is in the middle of a request.
     fn close_with_response(&mut self, conn: ConnId, message: &[u8], context: &mut Context) {
         let _ = context.net.send(conn, message);
         context.net.close_lingering(conn, context.now);
@@ -237,11 +239,11 @@
         let (status, allow) = match (method, path) {
             ("POST", "/api") => match query::read(head, client.reader.body(), &self.names, self.shards) {
                 Err(why) => {
-                    tracing::info!("request of client {} is bad: {why}", client.peer);
+                    tracing::info!("invalid request of client {}: {why}", client.peer);
                     return self.reply(conn, 400, &[], why.as_bytes(), context);
                 }
                 Ok(request) if self.recent_ids.contains(&request.payload.id) => {
-                    tracing::info!("request of client {} has the id of another", client.peer);
+                    tracing::info!("request of client {} repeats a recent request id", client.peer);
                     return self.reply(conn, 409, &[], b"this Req-Id was used", context);
                 }
                 Ok(request) => return self.submit_query(conn, request, context),
@@ -270,7 +272,7 @@
                 self.slots.query_admitted(conn);
             }
             Err(refused) => {
-                tracing::info!("query refused: as many are open as may be");
+                tracing::info!("query rejected: the limit on open queries is reached");
                 self.refuse(conn, refused.retry_after, context);
             }
         }
@@ -282,7 +284,7 @@
         self.reply(conn, 503, headers, b"", context);
     }
 
-    /// Writes a response and makes ready for the next request.
+    /// Writes a response, and prepares for the next request or closes the connection.
     fn reply(
         &mut self,
         conn: ConnId,
@@ -293,15 +295,17 @@
     ) {
         let Some(client) = self.clients.get_mut(&conn) else { return };
         client.reader.reset();
-        // Guards requests that were sent ahead: they are answered before the connection ends, but not without end.
+        // Pipelined requests are answered before the connection is closed, except in the last drain phase, so
+        // that a client can't keep it open by pipelining without end.
         let pipelined = self.drain_phase < DrainPhase::ClosingAll && !context.net.data(conn).is_empty();
         let keep = client.keep_alive && (self.drain_phase < DrainPhase::ClosingAfterAnswer || pipelined);
         let message = http::response(status, headers, keep, body);
         if context.net.send(conn, &message).is_err() {
-            tracing::warn!("client {} closed: it does not read its answers", client.peer);
+            tracing::warn!("client {} closed: it does not read its responses", client.peer);
             self.close(conn, context);
         } else if !keep {
-            // Guards the answer: the client may have sent more behind its last request.
+            // The client may have sent more data; closing at once could reset the connection and lose the
+            // response.
             context.net.close_lingering(conn, context.now);
             self.forget(conn, context);
         } else {
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Hands a final answer to the client that waits for it.
+    /// Sends the final outcome of a query to the client that waits for it.
     pub fn finish(
         &mut self,
         query: QueryId,
@@ -324,9 +328,10 @@
             QueryOutcome::Answered(answered) => {
                 let json = [("Content-Type", "application/json")];
                 let body = query::answer(&answered);
-                // No body on this port is larger; half an answer would be worse than none.
+                // Bodies on this port are limited to this size, and a truncated answer would be worse than
+                // none.
                 if body.len() > MAX_BODY {
-                    tracing::error!("an answer of {} bytes is larger than may be", body.len());
+                    tracing::error!("an answer of {} bytes exceeds the size limit", body.len());
                     self.reply(conn, 502, &[], b"", context);
                 } else {
                     self.reply(conn, 200, &json, &body, context);
@@ -335,24 +340,24 @@
             QueryOutcome::Rejected { retry_after: wait } => self.refuse(conn, wait, context),
             QueryOutcome::Failed => self.reply(conn, 504, &[], b"", context),
         }
-        // What the client sent ahead is read now.
+        // Handles requests that the client has pipelined.
         self.parse_input(conn, context);
         if self.clients.contains_key(&conn) {
             self.read(conn, context);
         }
     }
 
-    /// Whether it is ready, for those who ask.
+    /// Sets whether readiness checks succeed.
     pub fn set_ready(&mut self, ready: bool) {
         self.not_ready = !ready;
     }
 
-    /// How clients are to be treated from now on.
+    /// Sets the drain phase, which determines how clients are treated.
     pub fn set_drain_phase(&mut self, phase: DrainPhase) {
         self.drain_phase = phase;
     }
 
-    /// Reads once more whatever has come, then closes connections that ask for nothing.
+    /// Reads the data that has arrived, then closes idle connections.
     pub fn close_idle(&mut self, context: &mut Context) {
         let conns: Vec<ConnId> = self.clients.keys().copied().collect();
         for conn in conns {
@@ -360,30 +365,31 @@
             if self.slots.is_fresh(conn, context.now) {
                 continue;
             }
-            // A part of a head that is in stands in the buffer: the rest of it is on its way.
+            // If the buffer contains part of a head, the rest of the request is in transit.
             let is_idle = self.clients.get(&conn).is_some_and(|c| c.query.is_none() && c.reader.is_idle());
             if is_idle && context.net.data(conn).is_empty() {
-                // A request may come in this moment: it is not read, and the answers before it are.
+                // A request that arrives now is not read, but earlier responses still reach the client.
                 context.net.close_lingering(conn, context.now);
                 self.forget(conn, context);
             }
         }
     }
 
-    /// Closes connections that have had their time to ask. Who sent a part of a request is told.
+    /// Closes connections that exceed a time limit or the limits on their number. A client that has sent part
+    /// of a request gets a response.
     pub fn tick(&mut self, context: &mut Context) {
-        // Who was answered meanwhile may have to go for those that wait to be accepted.
+        // Connections that have become idle may have to make room for those that wait to be accepted.
         self.close_excess(context);
         while let Some(conn) = self.slots.excess_idle() {
             self.read(conn, context);
             if self.slots.excess_idle() == Some(conn) {
-                tracing::debug!("client connection closed for those that come next");
+                tracing::debug!("idle client connection closed: too many are open");
                 self.close(conn, context);
             }
         }
         while let Some(conn) = self.slots.overdue(context.now) {
             let Some(client) = self.clients.get(&conn) else { return self.slots.remove(conn) };
-            tracing::info!("client {} closed: nothing came for too long", client.peer);
+            tracing::info!("client {} closed: no complete request within the time limit", client.peer);
             if client.reader.is_idle() && context.net.data(conn).is_empty() {
                 self.close(conn, context);
             } else {
--- a/src/frontends/platform/mod.rs
+++ b/src/frontends/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's port: HTTP clients, shard servers that speak frames, and discovery.
+//! The platform's frontend: clients over HTTP, shard servers over a frame protocol, and discovery.
 
 mod downstream;
 pub mod frame;
@@ -13,11 +13,11 @@
 
 use std::rc::Rc;
 
-/// What a query carries on this port: its id on the wire and the text for each part.
+/// The payload of a query on this port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestContext {
-    /// `Req-Id`.
+    /// The request id, from the header `Req-Id`.
     pub id: Rc<str>,
-    /// What each part has to carry.
+    /// The text that is sent with each part.
     pub text: String,
 }
--- a/src/frontends/platform/query.rs
+++ b/src/frontends/platform/query.rs
@@ -1,4 +1,4 @@
-//! A client's request on the platform's port, and the answer to it.
+//! Parses client requests on the platform's port and serializes answers.
 
 use super::RequestContext;
 use crate::api::Nanos;
@@ -22,14 +22,18 @@
     work: Option<f64>,
 }
 
-/// Longest request id.
+/// Maximum length of a request id.
 const MAX_ID_BYTES: usize = 128;
-/// What the shares of a query's parts may miss 1 by: clients round them.
+/// Largest accepted deviation from 1 of the sum of a query's weights, which clients round.
 const WEIGHT_SUM_TOLERANCE: f64 = 1e-3;
-/// Longest time a client may ask for.
+/// Upper bound of the deadline that a client requests.
 const MAX_TIME_LEFT_MS: f64 = 3_600_000.0;
 
-/// Reads a query over so many shards; says in a few words what is wrong with one that can't be used.
+/// Parses a query over `shards` shards.
+///
+/// # Errors
+///
+/// A short description of the first error found, which is the body of the response.
 pub fn read(
     head: &Head,
     body: &[u8],
@@ -37,7 +41,7 @@
     shards: u32,
 ) -> Result<QueryRequest<RequestContext>, &'static str> {
     let id = head.header("req-id").ok_or("no Req-Id")?;
-    // Guards the frames that the id stands in: it must be one word.
+    // Frames contain the id as a field between spaces: it must not contain any white space.
     if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(|b| b.is_ascii_graphic()) {
         return Err("an unusable Req-Id");
     }
@@ -45,7 +49,7 @@
     let class = names.class(class).ok_or("an unknown class")?;
     let time_left = head.header("req-deadline").ok_or("no Req-Deadline")?;
     let time_left = parse_duration(time_left).ok_or("an unusable Req-Deadline")?;
-    // Traffic of nobody known has no share to keep to.
+    // Queries of unknown tenants are not limited to a share.
     let tenant = head.header("req-owner").and_then(|name| names.tenant(name));
     let key = head.header("cookie").and_then(cookie_key);
     let body: Body = serde_json::from_slice(body).map_err(|_| "a body that is no query")?;
@@ -65,7 +69,8 @@
         let work = s.work.filter(|w| w.is_finite() && *w >= 0.0).map(|us| (us * 1e3) as Nanos);
         parts.push(PartRequest { shard: s.segment, weight: s.boost, work });
     }
-    // Guards the rule on partial answers: shares that are none would make any answer look whole.
+    // The rule on partial answers needs weights that add up to 1: with others, any answer could count as
+    // complete.
     if (parts.iter().map(|p| p.weight).sum::<f64>() - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err("boosts that do not add up to 1");
     }
@@ -74,7 +79,7 @@
     Ok(QueryRequest { class, tenant, key, time_left, is_retry: retried, parts, payload })
 }
 
-/// A number plus a unit: `m` for milliseconds or `u` for microseconds.
+/// Parses a number followed by a unit: `m` for milliseconds or `u` for microseconds.
 fn parse_duration(text: &str) -> Option<Nanos> {
     let scale = match text.as_bytes().last()? {
         b'm' => 1.0,
@@ -103,7 +108,7 @@
     payload: &'a str,
 }
 
-/// The body of an answer.
+/// The response body of an answered query.
 pub fn answer(answered: &Answer<String>) -> Vec<u8> {
     let matches = answered.values.iter().map(|v| Match { segment: v.shard, payload: &v.value }).collect();
     serde_json::to_vec(&Reply { all_in: answered.complete, matches }).unwrap_or_default()
--- a/src/frontends/platform/recent_request_ids.rs
+++ b/src/frontends/platform/recent_request_ids.rs
@@ -1,15 +1,16 @@
-//! The ids of queries that were taken lately.
+//! The ids of recently admitted queries.
 
 use crate::api::Nanos;
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-/// How long an id is not taken again: longer than any query is open.
+/// How long an id is not accepted again, ns: longer than any query is open.
 const RETENTION: Nanos = 10_000_000_000;
-/// Most ids that are remembered.
+/// Maximum number of ids that are kept.
 const MAX_IDS: usize = 8192;
 
-/// Guards the answers of one client against another that uses its id: shard servers know a part by that alone.
+/// Detects the reuse of an id. Shard servers identify a part by its id alone, so two clients that use the
+/// same id could receive each other's answers.
 #[derive(Debug, Default)]
 pub struct RecentRequestIds {
     ids: HashSet<Rc<str>>,
@@ -17,12 +18,12 @@
 }
 
 impl RecentRequestIds {
-    /// Whether a query with this id was taken lately.
+    /// Whether a query with this id was admitted recently.
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// A query with this id was taken.
+    /// Records that a query with this id was admitted.
     pub fn insert(&mut self, now: Nanos, id: Rc<str>) {
         while self.by_time.front().is_some_and(|(t, _)| t + RETENTION <= now || self.by_time.len() >= MAX_IDS)
         {
