--- a/src/frontends/platform/frame.rs
+++ b/src/frontends/platform/frame.rs
@@ -1,29 +1,29 @@
-//! Frames between brokers and shard servers: a length, a letter, and the rest.
+//! Frames between brokers and shard servers: a length, a type byte and a body.
 
 use std::fmt;
 
-/// Longest frame that is taken; the length counts the letter and the rest.
+/// Maximum length of a frame, which counts the type byte and the body.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024;
-/// Longest line of an answer.
+/// Maximum length of the first line of an answer.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// Why a frame can't be used.
+/// Why a frame is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Its length is nought or more than may be.
+    /// Its length is zero or more than [`MAX_FRAME_BYTES`].
     InvalidLength(usize),
-    /// A letter that a shard server does not send.
+    /// Its type is not one that shard servers send.
     UnknownType(u8),
-    /// An answer that is not in the stated form.
+    /// It is an answer with invalid syntax.
     InvalidAnswer(&'static str),
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::InvalidLength(n) => write!(f, "a frame of length {n}"),
-            FrameError::UnknownType(byte) => write!(f, "a frame with letter {:?}", char::from(*byte)),
-            FrameError::InvalidAnswer(what) => write!(f, "a bad answer: {what}"),
+            FrameError::InvalidLength(n) => write!(f, "invalid frame length {n}"),
+            FrameError::UnknownType(byte) => write!(f, "unknown frame type {:?}", char::from(*byte)),
+            FrameError::InvalidAnswer(what) => write!(f, "invalid answer: {what}"),
         }
     }
 }
@@ -33,11 +33,11 @@
 /// How a part ended at the shard server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served.
+    /// The server returned a value.
     Ok,
-    /// An error; it may have run.
+    /// The server returned an error; the part may have run.
     Error,
-    /// Turned away; it never ran.
+    /// The server rejected the part, which did not run.
     Rejected,
 }
 
@@ -46,23 +46,23 @@
 pub enum FromServer<'a> {
     /// The answer to a part.
     Answer { id: &'a str, end: End, utilization: Option<f64>, value: &'a str },
-    /// The frame before could not be used.
+    /// The shard server could not use a frame of this broker; contains its message.
     Unusable(&'a [u8]),
 }
 
-/// Reads the first frame of `data`: its size and what it says, or nothing while it is not whole.
+/// Parses the first frame of `data`. Returns its size and content, or `None` while it is incomplete.
 pub fn read(data: &[u8]) -> Result<Option<(usize, FromServer<'_>)>, FrameError> {
     let Some((length, rest)) = data.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > MAX_FRAME_BYTES {
         return Err(FrameError::InvalidLength(length));
     }
-    // Guards against waiting for the end of what can't be used anyway.
+    // An invalid frame is rejected without waiting for its end.
     if let Some(frame_type) = rest.first().filter(|l| !matches!(l, b'Y' | b'N')) {
         return Err(FrameError::UnknownType(*frame_type));
     }
     let Some(frame) = rest.get(..length) else {
-        // The same for a line that does not end where it should.
+        // Nor is the end awaited if the first line is too long.
         if let [b'Y', body @ ..] = rest {
             line_end(body)?;
         }
@@ -75,24 +75,25 @@
 
 fn answer(body: &[u8]) -> Result<FromServer<'_>, FrameError> {
     let invalid = FrameError::InvalidAnswer;
-    let end = line_end(body)?.ok_or(invalid("no line"))?;
-    let value = std::str::from_utf8(&body[end + 1..]).map_err(|_| invalid("the value is no text"))?;
-    // Guards clients against a frame whose length takes in the start of the next: that starts with a zero.
+    let end = line_end(body)?.ok_or(invalid("no end of the first line"))?;
+    let value = std::str::from_utf8(&body[end + 1..]).map_err(|_| invalid("the value is not UTF-8"))?;
+    // A length that is too large includes the start of the next frame, whose first byte is zero. Clients must
+    // not receive that as part of the value.
     if value.contains('\0') {
-        return Err(invalid("the value holds more than a value"));
+        return Err(invalid("the value contains a zero byte"));
     }
     let mut fields = body[..end].splitn(4, |b| *b == b' ');
-    let mut field = || fields.next().ok_or(invalid("the line has not four words"));
+    let mut field = || fields.next().ok_or(invalid("the first line has fewer than four fields"));
     let (id, end, _score, report) = (field()?, field()?, field()?, field()?);
-    let text = |field| std::str::from_utf8(field).map_err(|_| invalid("the line is no text"));
+    let text = |field| std::str::from_utf8(field).map_err(|_| invalid("the first line is not UTF-8"));
     let (id, end) = (text(id)?, text(end)?);
     let end = match end {
         "OK" => End::Ok,
         "ERROR" => End::Error,
         "REJECTED" => End::Rejected,
-        _ => return Err(invalid("an unknown end")),
+        _ => return Err(invalid("unknown status")),
     };
-    // A report that can't be read takes nothing from the answer.
+    // The answer is valid even if its load report can't be parsed.
     Ok(FromServer::Answer {
         id,
         end,
@@ -101,11 +102,11 @@
     })
 }
 
-/// Where the first line ends, once that is in.
+/// The position at which the first line ends, or `None` while the end is not received.
 fn line_end(body: &[u8]) -> Result<Option<usize>, FrameError> {
     let end = body.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n');
     if end.is_none() && body.len() >= MAX_LINE_BYTES {
-        return Err(FrameError::InvalidAnswer("a line that does not end"));
+        return Err(FrameError::InvalidAnswer("the first line is too long"));
     }
     Ok(end)
 }
@@ -116,10 +117,10 @@
         && data.first().is_none_or(|b| *b == 0)
 }
 
-/// Largest busy share that is believed; reports are a little noisy.
+/// Largest utilization that is accepted. It is above 1 because reports are slightly noisy.
 const MAX_UTILIZATION: f64 = 2.0;
 
-/// The busy share in a report such as `queue=2,util=0.61`; nothing where there is none.
+/// The processor utilization in a report such as `queue=2,util=0.61`, if it contains a valid one.
 fn utilization(report: &str) -> Option<f64> {
     let values = report.split(',').filter_map(|pair| pair.split_once('='));
     let named =
@@ -134,13 +135,13 @@
     pub id: &'a str,
     /// Its shard.
     pub shard: u32,
-    /// Milliseconds that the broker will wait.
+    /// How long the broker waits for the answer, ms.
     pub wait_ms: u64,
-    /// What it carries.
+    /// The text of the query.
     pub text: &'a str,
 }
 
-/// Writes a call.
+/// Encodes a call.
 pub fn call(parts: &[PartLine]) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, b'R'];
     for p in parts {
@@ -151,7 +152,7 @@
     with_length(out)
 }
 
-/// Writes that a part is given up.
+/// Encodes the cancellation of a part.
 pub fn cancel(id: &str) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, b'A'];
     out.extend_from_slice(id.as_bytes());
--- a/src/frontends/platform/upstream.rs
+++ b/src/frontends/platform/upstream.rs
@@ -9,48 +9,52 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// A connection on which calls went out and nothing came back for so long is closed once nothing is out on it.
-/// Guards against a peer that vanished: nothing says so, and its connection stays open.
+/// How long after a call a connection may stay without any data from the server before it is closed, ns. It
+/// is closed once no part is in flight on it. This detects a server that vanished without closing the
+/// connection.
 const SILENCE_TIMEOUT: Nanos = 4_000_000_000;
 
 type Context<'a> = FrontendContext<'a, RequestContext, String>;
 
-/// A frame must be in whole so soon after its first byte. Guards against lengths that promise more than comes:
-/// the connection stays open, and nothing sent on it gets an answer.
+/// Time within which a frame must be complete after its first byte, ns. If a length is larger than the data
+/// that follows, the connection stays open, but nothing sent on it gets an answer.
 const FRAME_TIMEOUT: Nanos = 300_000_000;
-/// A connection with a part of a frame for so long gets no new call meanwhile.
+/// How long a frame may be incomplete before its connection gets no new calls until it is complete, ns.
 const PARTIAL_FRAME_GRACE: Nanos = 30_000_000;
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Most given-up parts of one connection whose answers are still known as such.
+/// Maximum number of cancelled parts per connection whose late answers are recognized.
 const MAX_CANCELLED: usize = 256;
 
 /// Limits on connections to shard servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamLimits {
-    /// Parts that one connection carries at once.
+    /// Maximum number of parts on one connection at a time. A larger call gets a connection without other
+    /// parts.
     pub streams: usize,
-    /// A connection that is not up by then never comes up.
+    /// Time within which a connection must be established, ns.
     pub dial_timeout: Nanos,
-    /// The peer closes a connection that was idle for so long.
+    /// Time after which the peer closes an idle connection, ns.
     pub idle_timeout: Nanos,
-    /// A connection on which calls went out and nothing came back for so long gets no further call. Guards
-    /// against one that fell silent while its server is well: dialling shows whether that is there.
+    /// How long after a call a connection may stay without any data from the server before it gets no further
+    /// calls, ns. The connection may have failed while its server works: dialling again shows whether the
+    /// server can be reached.
     pub silence_timeout: Nanos,
-    /// Most connections, all servers together. Beyond them the one that has been unused for longest makes room.
+    /// Maximum number of connections to all servers together. At the limit, the connection that was unused
+    /// for longest is closed to make room.
     pub max_connections: usize,
 }
 
-/// A part that travels on a connection.
+/// A part in flight on a connection.
 struct PartInFlight {
     attempt: AttemptId,
     id: String,
-    /// Bytes written on the connection once its frame's last byte is.
+    /// Offset of its frame's end in the bytes written on the connection.
     end: u64,
 }
 
-/// A call that waits for its connection to come up, or to take what was written before.
+/// A call that waits until its connection is established or has written the earlier frames.
 struct QueuedCall {
     since: Nanos,
     parts: Vec<AttemptRequest<RequestContext>>,
@@ -59,29 +63,31 @@
 struct Link {
     replica: ReplicaId,
     addr: SocketAddr,
-    /// Calls of which nothing was handed to the connection yet: what is given up meanwhile never leaves.
+    /// Calls of which nothing was passed to the connection. Parts that are cancelled meanwhile are never
+    /// sent.
     queued_calls: VecDeque<QueuedCall>,
     in_flight: Vec<PartInFlight>,
-    /// Parts that were given up and may still be answered.
+    /// Ids of cancelled parts that may still be answered.
     cancelled: VecDeque<String>,
-    /// Since when a part of a frame has been waiting for its rest.
+    /// Since when a received frame is incomplete.
     partial_since: Option<Nanos>,
-    /// Until when it must be up; none once it is.
+    /// Until when it must be established; `None` once it is.
     dial_deadline: Option<Nanos>,
     last_used: Nanos,
-    /// When a call was first written since anything was last read.
+    /// When the first call since the last read was written.
     unanswered_since: Option<Nanos>,
-    /// Where the frames of attempts end that are not known to be written whole, and how many attempts each carries.
+    /// Frames that are not known to be written completely: the offset of the end, and the number of attempts.
     unwritten: VecDeque<(u64, u64)>,
 }
 
 impl Link {
-    /// Parts that travel on it, or wait to.
+    /// Parts in flight on it or queued for it.
     fn load(&self) -> usize {
         self.in_flight.len() + self.queued_calls.iter().map(|w| w.parts.len()).sum::<usize>()
     }
 
-    /// So many bytes are written: attempts that are whole among them now, each told once.
+    /// The number of attempts whose frames are complete once `flushed` bytes are written. Each attempt is
+    /// counted once.
     fn take_written(&mut self, flushed: u64) -> u64 {
         let mut attempts = 0;
         while let Some((_, n)) = self.unwritten.pop_front_if(|(end, _)| *end <= flushed) {
@@ -102,23 +108,23 @@
 }
 
 impl Upstream {
-    /// The server side whose connections carry the mark `owner`.
+    /// The server side whose connections are registered with the poll loop under `owner`.
     pub fn new(owner: u8, limits: UpstreamLimits) -> Upstream {
         let (addrs, links, by_attempt) = (HashMap::new(), BTreeMap::new(), HashMap::new());
         Upstream { owner, limits, addrs, links, by_attempt, dialled: 0 }
     }
 
-    /// Connections that are open or coming up.
+    /// Number of connections that are open or being established.
     pub fn links(&self) -> usize {
         self.links.len()
     }
 
-    /// From now on there are at most so many connections.
+    /// Changes the limit on connections.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.limits.max_connections = max_connections;
     }
 
-    /// Where a server is to be reached from now on; none: nowhere.
+    /// Sets the address of a server, or removes it.
     pub fn set_address(&mut self, replica: ReplicaId, addr: Option<SocketAddr>) {
         match addr {
             Some(addr) => self.addrs.insert(replica, addr),
@@ -152,7 +158,7 @@
         self.write(conn, context);
     }
 
-    /// Writes the calls that wait for this connection, for as long as it takes all that it is given.
+    /// Writes the queued calls of a connection, for as long as each is written completely.
     fn write(&mut self, conn: ConnId, context: &mut Context) {
         while let Some(link) = self.links.get_mut(&conn) {
             if link.dial_deadline.is_some() || !context.net.is_flushed(conn) {
@@ -180,14 +186,15 @@
             let message = frame::call(&lines.collect::<Vec<_>>());
             match context.net.offer(conn, &message) {
                 Ok(Offer::Begun) => {}
-                // Guards what a call may not begin after: it is looked at again once the connection takes some.
+                // The call may no longer be allowed to start once the connection accepts data, so
+                // `begin_attempt` is called again then.
                 Ok(Offer::NotBegun) => {
                     parts.iter().for_each(|p| context.engine.attempt_deferred(p.attempt));
                     link.queued_calls.push_front(QueuedCall { since, parts });
                     return;
                 }
                 Err(QueueFull) => {
-                    tracing::warn!("call not sent: the connection takes no more");
+                    tracing::warn!("call not sent: the connection's write queue is full");
                     for p in &parts {
                         self.by_attempt.remove(&p.attempt);
                         context.engine.attempt_ended(context.now, p.attempt, failed(Outcome::ConnectFailed));
@@ -214,8 +221,9 @@
         }
     }
 
-    /// The same as `link`, for one that its server has not closed while it rested. Guards against a call that is written
-    /// after the peer's end has come and before the poll was asked for it: it would count as one that may have run.
+    /// Selects a connection as [`Upstream::select_link`] does, but none that its server closed while it was
+    /// idle. Without this check, a call that is written after the close and before the next poll would count
+    /// as one that may have run.
     fn open_link(
         &mut self,
         replica: ReplicaId,
@@ -233,8 +241,9 @@
         }
     }
 
-    /// A connection with room for so many parts: the fullest that is up, else one that is coming up, else new.
-    /// What this broker has no place for is its own want: it tells nothing of the server.
+    /// Selects a connection with room for `parts` parts: the established one with the most parts, else one
+    /// that is being established, else a new one. If the broker's own limit prevents a new one, the outcome
+    /// is [`Outcome::NotSent`], which does not count against the server.
     fn select_link(
         &mut self,
         replica: ReplicaId,
@@ -255,7 +264,7 @@
             return Ok(*conn);
         }
         if self.links.len() >= self.limits.max_connections && !self.close_least_recent(net) {
-            tracing::warn!("no connection to a shard server: {} are in use", self.links.len());
+            tracing::warn!("no connection to a shard server available: {} are in use", self.links.len());
             return Err(Outcome::NotSent);
         }
         match net.dial(addr, self.owner) {
@@ -278,7 +287,7 @@
                 self.links.insert(conn, link);
                 Ok(conn)
             }
-            // The system's word on a socket of ours: nothing has reached the server.
+            // A local error of the operating system: nothing has reached the server.
             Err(e) => {
                 tracing::warn!("can't dial {addr}: {e}");
                 Err(Outcome::NotSent)
@@ -286,7 +295,7 @@
         }
     }
 
-    /// Closes the connection that has carried nothing for longest. False while all are in use.
+    /// Closes the connection that was unused for longest. Returns false if all are in use.
     fn close_least_recent(&mut self, net: &mut PollLoop) -> bool {
         let unused = self.links.iter().filter(|(_, l)| l.load() == 0);
         let Some(conn) = unused.min_by_key(|(_, l)| l.last_used).map(|(conn, _)| *conn) else { return false };
@@ -297,7 +306,7 @@
         true
     }
 
-    /// Tells the shard server that nobody waits for a part.
+    /// Cancels an attempt. The shard server is notified if the attempt was written.
     pub fn cancel_attempt(&mut self, attempt: AttemptId, net: &mut PollLoop) {
         let Some(conn) = self.by_attempt.remove(&attempt) else { return };
         let Some(link) = self.links.get_mut(&conn) else { return };
@@ -314,7 +323,7 @@
         }
     }
 
-    /// Takes in what happened on one of its connections.
+    /// Handles an event of one of the connections.
     pub fn event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Connected { conn, .. } => {
@@ -347,7 +356,7 @@
                 }
                 ReadOutcome::WouldBlock | ReadOutcome::NoBuffer => return,
                 ReadOutcome::BufferFull => {
-                    return self.close_invalid(conn, "a frame larger than a buffer", context);
+                    return self.close_invalid(conn, "a frame is larger than the buffer", context);
                 }
                 ReadOutcome::Closed => return self.close(conn, context),
             }
@@ -367,9 +376,10 @@
                 Ok(Some((size, FromServer::Answer { id, end, utilization, value }))) => {
                     link.partial_since = None;
                     let at = link.in_flight.iter().position(|r| r.id == id);
-                    // Guards clients against a value that ends too early: what is left of it is no frame.
+                    // If the length is too small, the value is truncated and its remainder is no valid frame.
+                    // Clients must not receive such a value.
                     if at.is_some() && !frame::may_start(&data[size..]) {
-                        return self.close_invalid(conn, "an answer with more behind it", context);
+                        return self.close_invalid(conn, "an answer is followed by invalid data", context);
                     }
                     if let Some(at) = at {
                         let attempt = link.in_flight.remove(at).attempt;
@@ -389,8 +399,9 @@
                     } else if let Some(late) = link.cancelled.iter().position(|g| g == id) {
                         link.cancelled.remove(late);
                     } else {
-                        // Who answers what was not asked, or twice, is not to be believed in the rest.
-                        return self.close_invalid(conn, "an answer to nothing that is out", context);
+                        // After an answer to an unknown part, or a second one to the same part, no answer on
+                        // this connection is trusted.
+                        return self.close_invalid(conn, "an answer belongs to no part in flight", context);
                     }
                     size
                 }
@@ -405,8 +416,8 @@
         }
     }
 
-    /// Closes a connection on which something came that can't be used: what is out on it may have run, and no
-    /// answer to it can be told from the rest.
+    /// Closes a connection on which invalid data was received. The parts in flight on it may have run, and
+    /// their answers can't be identified any more.
     fn close_invalid(&mut self, conn: ConnId, why: &str, context: &mut Context) {
         if let Some(link) = self.links.get(&conn) {
             tracing::error!("shard server connection to {} closed: {why}", link.addr);
@@ -422,13 +433,14 @@
         self.broken(conn, flushed, context);
     }
 
-    /// A part whose frame was not written whole never ran; any other may have.
+    /// Ends a broken connection. A part whose frame was not written completely did not run; any other may
+    /// have.
     fn broken(&mut self, conn: ConnId, flushed: u64, context: &mut Context) {
         self.end_attempts(conn, flushed, Outcome::ConnectionReset, context);
     }
 
-    /// Ends all that is out on a connection. One connection is told of once: what else may have run there is
-    /// only not waited for any more.
+    /// Ends all attempts on a connection. A failed connection is reported for one attempt only: the other
+    /// attempts that may have run are reported as cancelled.
     fn end_attempts(&mut self, conn: ConnId, flushed: u64, mut why: Outcome, context: &mut Context) {
         let Some(mut link) = self.links.remove(&conn) else { return };
         context.engine.attempts_written(link.take_written(flushed));
@@ -446,7 +458,8 @@
         }
     }
 
-    /// Ends dials that take too long, and connections before the peer closes them as idle.
+    /// Closes connections that exceed a time limit or whose server has moved, and idle ones before the peer
+    /// closes them.
     pub fn tick(&mut self, context: &mut Context) {
         let has_moved = |l: &Link| l.load() == 0 && self.addrs.get(&l.replica) != Some(&l.addr);
         let has_expired = |l: &Link| self.deadline(l) <= context.now || has_moved(l);
@@ -457,7 +470,7 @@
                 .get(&conn)
                 .is_some_and(|l| l.partial_since.is_some_and(|t| t + FRAME_TIMEOUT <= context.now))
             {
-                self.close_invalid(conn, "a frame whose rest does not come", context);
+                self.close_invalid(conn, "a frame was not completed in time", context);
             } else {
                 self.close(conn, context);
             }
