--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -1,4 +1,4 @@
-//! The platform's front as a whole.
+//! The platform's frontend, and the construction of a broker with it.
 
 use super::{Downstream, RequestContext, Upstream, UpstreamLimits};
 use crate::admin;
@@ -26,49 +26,53 @@
 
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Descriptors kept for what is neither a client nor a shard server.
+/// Descriptors reserved for uses other than clients, shard servers and the admin endpoint.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Part of the descriptors that connections to shard servers may take.
+/// Divisor of the available descriptors for the share that connections to shard servers may use.
 const UPSTREAM_DIVISOR: usize = 2;
-/// Part of the descriptors that clients who have asked may hold. Clients keep to a third of them: this leaves
-/// room for those that come next.
+/// Divisor of the descriptors for the share of client connections on which a query was admitted. Clients
+/// limit themselves to a third of the descriptors, so this share leaves room for new connections.
 const QUERIED_CLIENTS_DIVISOR: usize = 4;
-/// Longest silence of a shard server's connection that is still called on, whatever the aims.
+/// Upper bound of the silence timeout of connections to shard servers, whatever the latency objectives are,
+/// ns.
 const MAX_SILENCE_TIMEOUT: Nanos = 4_000_000_000;
-/// Time without a request after which a client's connection is closed.
+/// Time without a request after which a client's connection is closed, ns.
 const CLIENT_IDLE_TIMEOUT: Nanos = 60_000_000_000;
-/// Mean time between two changes of one server, until discovery has shown another: about a release a day.
+/// Assumed mean time between two changes of one server until discovery has shown a different one, ns: about
+/// one release a day.
 const MEAN_CHANGE_INTERVAL: Nanos = 24 * 3_600_000_000_000;
-/// Age of a list that does not tell its own.
+/// Age assumed for a list that does not state its own, ns.
 const DEFAULT_LIST_AGE: Nanos = 300_000_000_000;
-/// Part of the memory that buffers may take.
+/// Divisor of the memory limit for the share that buffers may use.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 
-/// The platform's port: clients, shard servers and discovery.
+/// The platform's frontend: clients, shard servers and discovery.
 pub struct PlatformFrontend {
     clients: Downstream,
     servers: Upstream,
     membership: MembershipDriver,
-    /// What is read again when the word comes.
+    /// The configuration file, which a reload reads again.
     config_file: Option<PathBuf>,
     reload_retry: ReloadRetry,
-    /// Descriptors for neither clients nor shard servers.
+    /// Descriptors reserved for the admin endpoint.
     admin_descriptors: usize,
 }
 
-/// Connections to shard servers and from clients for so many descriptors, of which `apart` are for neither.
+/// The numbers of connections to shard servers and from clients for a limit of `descriptors`, of which
+/// `admin_descriptors` are for neither.
 fn divide_descriptors(descriptors: usize, admin_descriptors: usize) -> (usize, usize) {
     let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS + admin_descriptors);
     (available / UPSTREAM_DIVISOR, available - available / UPSTREAM_DIVISOR)
 }
 
-/// Builds a broker that listens; tells where.
+/// Builds a broker that listens, and returns the address at which clients connect.
 pub fn broker(config: PlatformConfig) -> Result<(Broker<PlatformFrontend>, SocketAddr), BrokerError> {
     let (settings, names) = config::settings(&config.params).map_err(ConfigError::from)?;
     let clock = Clock::start();
     let now = clock.now();
-    // Guards the limit on descriptors: what connections to shard servers may take is not given to clients. In a
-    // large fleet a broker meets more servers than clients: with a place for each server none is dialled twice.
+    // Keeps within the descriptor limit: the share of connections to shard servers is not available to
+    // clients. In a large fleet a broker has more servers than clients: with a connection for each server,
+    // none has to be dialled twice.
     let admin_descriptors = config.ops.map_or(0, |_| admin::MAX_CONNECTIONS);
     let (max_upstream, max_clients) = divide_descriptors(config.sockets, admin_descriptors);
     let mut net =
@@ -135,7 +139,7 @@
     };
     let mut watch = DiscoveryWatch::new(DISCOVERY, config.discovery, schedule);
     match settings.discovery {
-        // What is pushed counts as told whether or not a watch is open: one has to be, from the first moment on.
+        // Pushed changes count as delivered whether or not a watch is open, so one is needed from the start.
         Discovery::Pushed => watch.request(now),
         Discovery::Polled => watch.request_soon(now),
     }
@@ -150,7 +154,7 @@
     let mut engine = QueryEngine::new(settings, config.seed, now).map_err(ConfigError::rejected)?;
     let mut context = FrontendContext { now, net: &mut net, engine: &mut engine };
     membership.propagate_changes(&mut context, |c| servers.set_address(c.entry.replica, c.addr));
-    // The list of servers is in before the first client can come.
+    // The endpoint list is applied before the first client can connect.
     engine.advance(now);
     let listening = match config.inherited {
         Some(fd) => inherited::listener(fd, config.listen).and_then(|l| net.listen_on(l, CLIENTS)),
@@ -177,7 +181,7 @@
 }
 
 impl PlatformFrontend {
-    /// Reads the configuration again; the watch on discovery moves with the next tick.
+    /// Reloads the configuration. If the address of discovery has changed, the watch moves at the next tick.
     fn read_configuration(&mut self, now: Nanos) {
         let Some(file) = &self.config_file else { return };
         match PlatformConfig::from_file(file) {
@@ -185,7 +189,7 @@
                 self.reload_retry.clear();
                 self.membership.set_discovery_address(config.discovery, now);
             }
-            // Guards the service against a file that is half written or wrong: what it was told before stays.
+            // If the file is incomplete or invalid, the current configuration stays in effect.
             Err(e) => {
                 let error = e.to_string();
                 if self.reload_retry.on_failure(&error, now) {
@@ -253,7 +257,7 @@
         self.clients.set_drain_phase(phase);
     }
 
-    /// Discovery alone may move while the broker serves; all else holds from the start to the end.
+    /// Applies a changed address of discovery. All other settings are fixed at the start.
     fn reload(&mut self, context: &mut FrontendContext<RequestContext, String>) {
         self.reload_retry.clear();
         self.read_configuration(context.now);
@@ -284,7 +288,8 @@
     }
 
     fn limit_descriptors(&mut self, descriptors: usize, net: &mut PollLoop) {
-        // What is held stays; only the rest is divided. Callers at the second address may still come.
+        // Open connections stay; only the remaining descriptors are divided. Those that the admin endpoint
+        // may still need are left out.
         let remaining = descriptors.saturating_sub(
             net.descriptors() + self.admin_descriptors
                 - net.accepted_in_class(ConnectionClass::Admin).min(self.admin_descriptors),
