--- a/src/frontends/platform/frame.rs
+++ b/src/frontends/platform/frame.rs
@@ -1,29 +1,29 @@
-//! Frames between brokers and shard servers: a length, a letter, and the rest.
+//! Frames between brokers and shard servers: a length, a type byte and a body.
 
 use std::fmt;
 
-/// Longest frame that is taken; the length counts the letter and the rest.
-pub const MAX_FRAME: usize = 64 * 1024;
-/// Longest line of an answer.
-const MAX_LINE: usize = 1024;
+/// Maximum length of a frame, which counts the type byte and the body.
+pub const MAX_FRAME_BYTES: usize = 64 * 1024;
+/// Maximum length of the first line of an answer.
+const MAX_LINE_BYTES: usize = 1024;
 
-/// Why a frame can't be used.
+/// Why a frame is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// Its length is nought or more than may be.
-    Length(usize),
-    /// A letter that a shard server does not send.
-    Letter(u8),
-    /// An answer that is not in the stated form.
-    Answer(&'static str),
+    /// Its length is zero or more than [`MAX_FRAME_BYTES`].
+    InvalidLength(usize),
+    /// Its type is not one that shard servers send.
+    UnknownType(u8),
+    /// It is an answer with invalid syntax.
+    InvalidAnswer(&'static str),
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::Length(n) => write!(f, "a frame of length {n}"),
-            FrameError::Letter(l) => write!(f, "a frame with letter {:?}", char::from(*l)),
-            FrameError::Answer(what) => write!(f, "a bad answer: {what}"),
+            FrameError::InvalidLength(n) => write!(f, "invalid frame length {n}"),
+            FrameError::UnknownType(byte) => write!(f, "unknown frame type {:?}", char::from(*byte)),
+            FrameError::InvalidAnswer(what) => write!(f, "invalid answer: {what}"),
         }
     }
 }
@@ -33,11 +33,11 @@
 /// How a part ended at the shard server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served.
+    /// The server returned a value.
     Ok,
-    /// An error; it may have run.
+    /// The server returned an error; the part may have run.
     Error,
-    /// Turned away; it never ran.
+    /// The server rejected the part, which did not run.
     Rejected,
 }
 
@@ -45,81 +45,87 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromServer<'a> {
     /// The answer to a part.
-    Answer { id: &'a str, end: End, busy: Option<f64>, value: &'a str },
-    /// The frame before could not be used.
+    Answer { id: &'a str, end: End, utilization: Option<f64>, value: &'a str },
+    /// The shard server could not use a frame of this broker; contains its message.
     Unusable(&'a [u8]),
 }
 
-/// Reads the first frame of `data`: its size and what it says, or nothing while it is not whole.
+/// Parses the first frame of `data`. Returns its size and content, or `None` while it is incomplete.
 pub fn read(data: &[u8]) -> Result<Option<(usize, FromServer<'_>)>, FrameError> {
     let Some((length, rest)) = data.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
-    if length == 0 || length > MAX_FRAME {
-        return Err(FrameError::Length(length));
+    if length == 0 || length > MAX_FRAME_BYTES {
+        return Err(FrameError::InvalidLength(length));
     }
-    // Guards against waiting for the end of what can't be used anyway.
-    if let Some(letter) = rest.first().filter(|l| !matches!(l, b'Y' | b'N')) {
-        return Err(FrameError::Letter(*letter));
+    // An invalid frame is rejected without waiting for its end.
+    if let Some(frame_type) = rest.first().filter(|l| !matches!(l, b'Y' | b'N')) {
+        return Err(FrameError::UnknownType(*frame_type));
     }
     let Some(frame) = rest.get(..length) else {
-        // The same for a line that does not end where it should.
+        // Nor is the end awaited if the first line is too long.
         if let [b'Y', body @ ..] = rest {
             line_end(body)?;
         }
         return Ok(None);
     };
     let body = &frame[1..];
-    let said = if frame[0] == b'N' { FromServer::Unusable(body) } else { answer(body)? };
-    Ok(Some((4 + length, said)))
+    let message = if frame[0] == b'N' { FromServer::Unusable(body) } else { answer(body)? };
+    Ok(Some((4 + length, message)))
 }
 
 fn answer(body: &[u8]) -> Result<FromServer<'_>, FrameError> {
-    let bad = FrameError::Answer;
-    let end = line_end(body)?.ok_or(bad("no line"))?;
-    let value = std::str::from_utf8(&body[end + 1..]).map_err(|_| bad("the value is no text"))?;
-    // Guards clients against a frame whose length takes in the start of the next: that starts with a zero.
+    let invalid = FrameError::InvalidAnswer;
+    let end = line_end(body)?.ok_or(invalid("no end of the first line"))?;
+    let value = std::str::from_utf8(&body[end + 1..]).map_err(|_| invalid("the value is not UTF-8"))?;
+    // A length that is too large includes the start of the next frame, whose first byte is zero. Clients must
+    // not receive that as part of the value.
     if value.contains('\0') {
-        return Err(bad("the value holds more than a value"));
+        return Err(invalid("the value contains a zero byte"));
     }
-    let mut words = body[..end].splitn(4, |b| *b == b' ');
-    let mut word = || words.next().ok_or(bad("the line has not four words"));
-    let (id, end, _score, report) = (word()?, word()?, word()?, word()?);
-    let text = |word| std::str::from_utf8(word).map_err(|_| bad("the line is no text"));
+    let mut fields = body[..end].splitn(4, |b| *b == b' ');
+    let mut field = || fields.next().ok_or(invalid("the first line has fewer than four fields"));
+    let (id, end, _score, report) = (field()?, field()?, field()?, field()?);
+    let text = |field| std::str::from_utf8(field).map_err(|_| invalid("the first line is not UTF-8"));
     let (id, end) = (text(id)?, text(end)?);
     let end = match end {
         "OK" => End::Ok,
         "ERROR" => End::Error,
         "REJECTED" => End::Rejected,
-        _ => return Err(bad("an unknown end")),
+        _ => return Err(invalid("unknown status")),
     };
-    // A report that can't be read takes nothing from the answer.
-    Ok(FromServer::Answer { id, end, busy: std::str::from_utf8(report).ok().and_then(busy), value })
+    // The answer is valid even if its load report can't be parsed.
+    Ok(FromServer::Answer {
+        id,
+        end,
+        utilization: std::str::from_utf8(report).ok().and_then(utilization),
+        value,
+    })
 }
 
-/// Where the first line ends, once that is in.
+/// The position at which the first line ends, or `None` while the end is not received.
 fn line_end(body: &[u8]) -> Result<Option<usize>, FrameError> {
-    let end = body.iter().take(MAX_LINE).position(|b| *b == b'\n');
-    if end.is_none() && body.len() >= MAX_LINE {
-        return Err(FrameError::Answer("a line that does not end"));
+    let end = body.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n');
+    if end.is_none() && body.len() >= MAX_LINE_BYTES {
+        return Err(FrameError::InvalidAnswer("the first line is too long"));
     }
     Ok(end)
 }
 
 /// Whether `data` may be the start of a frame from a shard server.
 pub fn may_start(data: &[u8]) -> bool {
-    !matches!(read(data), Err(FrameError::Length(_) | FrameError::Letter(_)))
+    !matches!(read(data), Err(FrameError::InvalidLength(_) | FrameError::UnknownType(_)))
         && data.first().is_none_or(|b| *b == 0)
 }
 
-/// Largest busy share that is believed; reports are a little noisy.
-const MAX_BUSY: f64 = 2.0;
+/// Largest utilization that is accepted. It is above 1 because reports are slightly noisy.
+const MAX_UTILIZATION: f64 = 2.0;
 
-/// The busy share in a report such as `queue=2,util=0.61`; nothing where there is none.
-fn busy(report: &str) -> Option<f64> {
+/// The processor utilization in a report such as `queue=2,util=0.61`, if it contains a valid one.
+fn utilization(report: &str) -> Option<f64> {
     let values = report.split(',').filter_map(|pair| pair.split_once('='));
     let named =
         |(name, value): (&str, &str)| matches!(name, "util" | "busy").then(|| value.parse::<f64>().ok());
-    values.filter_map(named).flatten().find(|x| (0.0..=MAX_BUSY).contains(x))
+    values.filter_map(named).flatten().find(|x| (0.0..=MAX_UTILIZATION).contains(x))
 }
 
 /// One part of a call.
@@ -129,13 +135,13 @@
     pub id: &'a str,
     /// Its shard.
     pub shard: u32,
-    /// Milliseconds that the broker will wait.
+    /// How long the broker waits for the answer, ms.
     pub wait_ms: u64,
-    /// What it carries.
+    /// The text of the query.
     pub text: &'a str,
 }
 
-/// Writes a call.
+/// Encodes a call.
 pub fn call(parts: &[PartLine]) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, b'R'];
     for p in parts {
@@ -143,17 +149,17 @@
         out.extend_from_slice(line.as_bytes());
         out.extend_from_slice(p.text.as_bytes());
     }
-    sized(out)
+    with_length(out)
 }
 
-/// Writes that a part is given up.
-pub fn give_up(id: &str) -> Vec<u8> {
+/// Encodes the cancellation of a part.
+pub fn cancel(id: &str) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, b'A'];
     out.extend_from_slice(id.as_bytes());
-    sized(out)
+    with_length(out)
 }
 
-fn sized(mut frame: Vec<u8>) -> Vec<u8> {
+fn with_length(mut frame: Vec<u8>) -> Vec<u8> {
     let length = (frame.len() - 4) as u32;
     frame[..4].copy_from_slice(&length.to_be_bytes());
     frame
