--- a/src/config/diagnostics.rs
+++ b/src/config/diagnostics.rs
@@ -1,7 +1,7 @@
-//! Every mistake of a TOML file at once, each with its line.
+//! Collects all errors in a TOML file, each with its line.
 //!
-//! A deserializer stops at the first mistake. Here each record is read on its own, and what is wrong in it is
-//! reported and removed, until the rest can be read.
+//! A deserializer stops at the first error. Here each record is deserialized separately: a field that fails
+//! is reported and removed, and the record is deserialized again until the rest of it can be read.
 
 use serde::Deserialize;
 use serde::de::IntoDeserializer;
@@ -10,12 +10,12 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// One mistake of a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
-    /// Its line, from 1; 0: the file as a whole.
+    /// Line number, from 1; 0 for the file as a whole.
     pub line: usize,
-    /// What is wrong, without the line.
+    /// The error, without the line number.
     pub message: String,
 }
 
@@ -29,33 +29,33 @@
     }
 }
 
-/// A setting of a file: a field of a section's record.
+/// The location of a setting in a file: section, record and field.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Setting<'a> {
     section: &'a str,
-    /// Number of the record in a section that is a list.
+    /// Index of the record in a section that is a list, from 0.
     record: usize,
     field: &'a str,
 }
 
 impl<'a> Setting<'a> {
-    /// A field of a section. An empty `field` means all of the section.
+    /// A field of a section. An empty `field` means the whole section.
     pub fn new(section: &'a str, field: &'a str) -> Setting<'a> {
         Setting::nth(section, 0, field)
     }
 
-    /// A field of the record of that number, from 0, in a section that is a list.
+    /// A field of the record with index `record` in a section that is a list.
     pub fn nth(section: &'a str, record: usize, field: &'a str) -> Setting<'a> {
         Setting { section, record, field }
     }
 }
 
-/// The text of a file, its values with their places, and what is wrong with it so far.
+/// The text of a file, its values with their spans, and the errors found so far.
 #[derive(Debug)]
 pub(super) struct TomlDocument<'t> {
     text: &'t str,
     root: DeTable<'t>,
-    /// All that was found to be wrong.
+    /// All errors found so far.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -63,24 +63,25 @@
     text.get(..at).map_or(0, |before| before.matches('\n').count() + 1)
 }
 
-fn first_line(message: &str) -> String {
+/// A message on one line.
+fn single_line(message: &str) -> String {
     message.replace('\n', " ").trim().to_owned()
 }
 
 impl<'t> TomlDocument<'t> {
-    /// Parses a text. One that is no TOML has one mistake, and no values.
+    /// Parses a text. Text that is not valid TOML gives one diagnostic and no values.
     pub fn new(text: &'t str) -> TomlDocument<'t> {
         let (root, diagnostics) = match DeTable::parse(text) {
             Ok(root) => (root.into_inner(), Vec::new()),
             Err(e) => {
                 let line = e.span().map_or(0, |s| line_of(text, s.start));
-                (DeTable::new(), vec![Diagnostic { line, message: first_line(e.message()) }])
+                (DeTable::new(), vec![Diagnostic { line, message: single_line(e.message()) }])
             }
         };
         TomlDocument { text, root, diagnostics }
     }
 
-    /// Reports a mistake in a setting.
+    /// Reports an error in a setting.
     pub fn report(&mut self, setting: Setting<'_>, message: impl Into<String>) {
         let line = self.position(setting).map_or(0, |at| line_of(self.text, at));
         self.diagnostics.push(Diagnostic { line, message: message.into() });
@@ -90,7 +91,7 @@
         self.diagnostics.push(Diagnostic { line: line_of(self.text, at), message });
     }
 
-    /// Where a setting starts: its key, or else its record or section.
+    /// Byte offset of a setting: of its key, or else of its record or section.
     fn position(&self, setting: Setting<'_>) -> Option<usize> {
         let (key, value) = self.root.get_key_value(setting.section)?;
         let record = match value.get_ref() {
@@ -102,13 +103,13 @@
         field.map(|(k, _)| k.span().start).or(start(record.span())).or(start(key.span()))
     }
 
-    /// Reads one value of the top level; none where it is missing or can't be read.
+    /// Reads one top-level value; `None` if it is missing or can't be read.
     pub fn value<T: Deserialize<'t>>(&mut self, name: &str) -> Option<T> {
         let value = self.root.get(name)?.clone();
         self.record(name, value)
     }
 
-    /// Reads all records of a section, without those that can't be read.
+    /// Reads all records of a section, skipping those that can't be read.
     pub fn records<T: Deserialize<'t>>(&mut self, name: &str) -> Vec<T> {
         let Some(value) = self.root.get(name).cloned() else { return Vec::new() };
         let at = value.span().start;
@@ -127,8 +128,8 @@
                 Ok(read) => return Some(read).filter(|_| removed.is_empty()),
                 Err(error) => error,
             };
-            let message = first_line(error.message());
-            // What was removed is missed now: that is no further mistake.
+            let message = single_line(error.message());
+            // A removed field is now reported as missing, which is not a further error.
             if removed.iter().any(|key: &String| message == format!("missing field `{key}`")) {
                 return None;
             }
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Reports settings of the top level that are not known, and required ones that are missing.
-    pub fn check_names(&mut self, known: &[&str], required: &[&str]) {
+    /// Reports unknown top-level settings, and required ones that are missing.
+    pub fn check_setting_names(&mut self, known: &[&str], required: &[&str]) {
         let unknown: Vec<(usize, String)> = self
             .root
             .iter()
@@ -152,13 +153,14 @@
             self.report_at(at, format!("unknown setting {name}, expected one of {}", known.join(", ")));
         }
         for name in required.iter().filter(|n| !self.root.contains_key(**n)) {
-            self.diagnostics.push(Diagnostic { line: 0, message: format!("{name} is not told") });
+            self.diagnostics
+                .push(Diagnostic { line: 0, message: format!("required setting {name} is missing") });
         }
     }
 }
 
-/// Removes the field that holds the place `at` from a record, and returns its name; none where there is no
-/// such.
+/// Removes the field whose key or value covers the span `at` from a record, and returns its name; `None` if
+/// there is no such field.
 fn remove_field_at(record: &mut Spanned<DeValue<'_>>, at: &Range<usize>) -> Option<String> {
     let DeValue::Table(table) = record.get_mut() else { return None };
     let covers = |span: Range<usize>| span.start <= at.start && at.end <= span.end;
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration can't be used.
+//! Errors of reading and checking a configuration.
 
 use super::diagnostics::Diagnostic;
 use super::settings::PlatformSettingsError;
@@ -8,7 +8,7 @@
 use std::num::ParseIntError;
 use std::path::{Path, PathBuf};
 
-/// A configuration that can't be used. Its text is one line.
+/// The error for a configuration that can't be used. Its message is one line.
 #[derive(Debug, thiserror::Error)]
 #[error("unusable configuration: {}", self.message())]
 pub struct ConfigError {
@@ -17,67 +17,67 @@
     kind: ConfigErrorKind,
 }
 
-/// What is wrong with a configuration.
+/// The kind of a configuration error.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigErrorKind {
     /// The file can't be read.
     #[error("{0}")]
     Read(#[from] io::Error),
-    /// The file of the platform is no JSON, or not in its form.
+    /// The platform's file is not valid JSON, or doesn't have the expected fields.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// The operator's file, or the file of nodes, holds these mistakes.
+    /// The operator's file or the nodes file contains these errors.
     #[error("{}", joined(.0))]
     Diagnostics(Vec<Diagnostic>),
-    /// The settings object is contradictory.
+    /// The settings object of the platform can't be used.
     #[error("{0}")]
     Settings(#[from] PlatformSettingsError),
-    /// `GW_CONFIG` names no file.
+    /// `GW_CONFIG` is not set, so there is no file to read.
     #[error("GW_CONFIG is not set")]
     NoFile,
-    /// Neither the file nor the variable gives an address.
-    #[error("{variable} is not told")]
+    /// Neither the file nor the environment variable gives a required address.
+    #[error("{variable} is not set, and the file has no such address")]
     NoAddress {
-        /// Name of the variable.
+        /// Name of the environment variable.
         variable: &'static str,
     },
     /// An address can't be parsed.
     #[error("{variable} {text:?}: {source}")]
     Address {
-        /// Name of the variable for the address.
+        /// Name of the environment variable for the address.
         variable: &'static str,
-        /// The address as it was given.
+        /// The address as configured.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// `GW_INHERITED_FD` is no number over 2.
-    #[error("GW_INHERITED_FD {text:?} is no descriptor")]
+    /// `GW_INHERITED_FD` is not a number over 2.
+    #[error("GW_INHERITED_FD {text:?} is not a descriptor over 2")]
     InheritedDescriptor {
-        /// The variable's value.
+        /// Value of the variable.
         text: String,
     },
-    /// The seed is no hexadecimal number.
-    #[error("seed {text:?} is no hexadecimal number")]
+    /// The seed is not a hexadecimal number.
+    #[error("seed {text:?} is not a hexadecimal number")]
     Seed {
-        /// The seed as it was given.
+        /// The seed as configured.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// The limit on descriptors is too low.
-    #[error("{sockets} sockets are too few")]
+    /// The limit on open descriptors is too low.
+    #[error("a limit of {sockets} sockets is too low")]
     TooFewSockets {
         /// The limit.
         sockets: usize,
     },
     /// The limit on memory is too low.
-    #[error("{megabytes} MB of memory are too little")]
+    #[error("a memory limit of {megabytes} MB is too low")]
     TooLittleMemory {
         /// The limit, MB.
         megabytes: usize,
     },
-    /// The frontend or the engine can't work with the configuration.
+    /// The frontend or the engine rejects the configuration.
     #[error("{0}")]
     Rejected(#[source] Box<dyn Error + Send + Sync>),
 }
@@ -88,7 +88,7 @@
 }
 
 impl ConfigError {
-    /// The frontend or the engine can't work with the configuration, for this reason.
+    /// The error for a configuration that the frontend or the engine rejects for this reason.
     pub fn rejected(reason: impl Into<Box<dyn Error + Send + Sync>>) -> ConfigError {
         ConfigErrorKind::Rejected(reason.into()).into()
     }
@@ -99,12 +99,12 @@
         ConfigError { file: Some(path.to_owned()), ..self }
     }
 
-    /// What is wrong.
+    /// The kind of error.
     pub fn kind(&self) -> &ConfigErrorKind {
         &self.kind
     }
 
-    /// What is wrong and in which file, in one line.
+    /// The error and the file that it is in, on one line.
     pub fn message(&self) -> String {
         match &self.file {
             Some(file) => format!("{}: {}", file.display(), self.kind),
--- a/src/config/index.rs
+++ b/src/config/index.rs
@@ -1,7 +1,7 @@
-//! The indexes that searches may use: their names in CQL and their access points in Bib-1.
+//! The indexes that searches may use: their CQL names and their Bib-1 access points.
 
-/// Names of indexes in CQL, and the numbers of their access points in Bib-1. The first name of a number is
-/// the one that is written.
+/// CQL index names with their Bib-1 access points. If several names have the same access point, the first is
+/// used when a query is written.
 const NAMES: &[(&str, u16)] = &[
     ("cql.serverchoice", 1016),
     ("cql.anywhere", 1035),
@@ -32,13 +32,13 @@
     ("music.instrumentation", 5032),
 ];
 
-/// The access point of a CQL index; none where the index is not known.
+/// The access point of a CQL index; `None` if the index is unknown.
 pub fn access_of(index: &str) -> Option<u16> {
     let index = index.to_ascii_lowercase();
     NAMES.iter().find(|(name, _)| *name == index).map(|(_, n)| *n)
 }
 
-/// The CQL index of an access point; none where no known index has it.
+/// The CQL index of an access point; `None` if no known index has it.
 pub fn index_of(access: u16) -> Option<&'static str> {
     NAMES.iter().find(|(_, n)| *n == access).map(|(name, _)| *name)
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! Configuration of the broker: the operator's file of the catalogue, and the platform's file and variables.
+//! Configuration of the broker: the operator's file for the catalogue, or the platform's file together with
+//! environment variables.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/config/operator/bounds.rs
+++ b/src/config/operator/bounds.rs
@@ -2,16 +2,16 @@
 
 use crate::api::Nanos;
 
-/// Nanoseconds of a millisecond.
+/// Nanoseconds in a millisecond.
 pub(super) const MILLISECOND: Nanos = 1_000_000;
-/// Milliseconds of a day: no time may be longer, since times are added up.
+/// Milliseconds in a day. No configured time may be longer, so that sums of times don't overflow.
 pub(super) const DAY_MS: u64 = 86_400_000;
-/// Seconds of ten years.
+/// Seconds in ten years.
 pub(super) const TEN_YEARS_S: u64 = 3650 * 86_400;
-/// Most partitions and cells.
+/// Maximum number of partitions, and of cells.
 pub(super) const MAX_PARTITIONS: u32 = 10_000;
 
-/// The weight of a node or class that has none in the file.
+/// Weight of a node or class for which the file sets none.
 pub(super) fn default_weight() -> f64 {
     1.0
 }
--- a/src/config/operator/classes.rs
+++ b/src/config/operator/classes.rs
@@ -1,11 +1,12 @@
-//! The sections `class` and `database`: what clients ask for, and how soon it is wanted.
+//! The sections `class` and `database`: the databases that clients query, and the latency objectives and
+//! priorities of their queries.
 
 use super::bounds::{DAY_MS, default_weight};
 use crate::config::diagnostics::{Setting, TomlDocument};
 use serde::Deserialize;
 use std::collections::HashSet;
 
-/// A class of query.
+/// A class of queries.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueryClass {
@@ -13,15 +14,15 @@
     pub name: String,
     /// Latency objective, ms.
     pub aim_ms: u64,
-    /// Time after which clients give up, ms.
+    /// Time after which clients stop waiting for an answer, ms.
     pub deadline_ms: u64,
-    /// Priority weight of an answer among those of other classes.
+    /// Priority weight of an answer relative to other classes.
     #[serde(default = "default_weight")]
     pub worth: f64,
-    /// Share of that weight that an answer after the latency objective has.
+    /// Fraction of that weight for an answer that misses the latency objective.
     #[serde(default)]
     pub late_worth: f64,
-    /// Smallest share of the partitions that an answer may be given from, 0 to 1.
+    /// Smallest fraction of the partitions that an answer may cover, 0 to 1.
     #[serde(default = "all_partitions")]
     pub floor: f64,
 }
@@ -30,17 +31,17 @@
     1.0
 }
 
-/// A database by the name that clients use.
+/// A database, under the name that clients use.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// Its name: SRU's path, Z39.50's database name.
+    /// Its name: the path in SRU, the database name in Z39.50.
     pub name: String,
     /// The class of its queries.
     pub class: String,
 }
 
-/// Checks each class by itself and its name against the others'.
+/// Checks each class, and that names are unique.
 pub(super) fn check_classes(classes: &[QueryClass], document: &mut TomlDocument<'_>) {
     let mut names = HashSet::new();
     for (n, class) in classes.iter().enumerate() {
@@ -71,7 +72,7 @@
     }
 }
 
-/// Checks each database's name, and that its class is there.
+/// Checks each database's name, that names are unique, and that its class exists.
 pub(super) fn check_databases(
     databases: &[Database],
     classes: &[QueryClass],
--- a/src/config/operator/cluster.rs
+++ b/src/config/operator/cluster.rs
@@ -9,11 +9,11 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Another broker of the cluster, as `[[peer]]` has it.
+/// Another broker of the cluster, a `[[peer]]` section.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct PeerBroker {
-    /// Its name in its own file.
+    /// Its name, as in its own configuration file.
     pub name: String,
     /// The address at which its peers reach it, by UDP and by TCP.
     pub address: SocketAddr,
@@ -23,25 +23,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClusterConfig {
-    /// The cluster's name: messages from brokers of another cluster are ignored.
+    /// The cluster's name; messages from brokers of other clusters are ignored.
     pub name: String,
     /// The address at which peers reach this broker, by UDP and by TCP.
     pub listen: SocketAddr,
-    /// The directory of the journal of replicated state.
+    /// The directory for the journal of replicated state.
     pub keep: PathBuf,
-    /// Time between two probes of a peer, ms.
+    /// Interval between probes of a peer, ms.
     #[serde(default = "probe_ms")]
     pub probe_ms: u64,
-    /// How long commands that have ended are retained, seconds.
+    /// Retention time of ended commands, seconds.
     #[serde(default = "keep_words_s")]
     pub keep_words_s: u64,
-    /// The latest version of frames that is sent; it may be lowered while a cluster is being upgraded.
+    /// The latest frame version to send; it may be lowered while a cluster is being upgraded.
     #[serde(default = "speak")]
     pub speak: u8,
     /// The other brokers.
     #[serde(skip)]
     pub peers: Vec<PeerBroker>,
-    /// The file that this was read from; its peers are read again on SIGHUP.
+    /// The file that this was read from; its peers are reloaded on SIGHUP.
     #[serde(skip)]
     pub file: Option<PathBuf>,
 }
@@ -58,7 +58,7 @@
     codec::LATEST_VERSION
 }
 
-/// Checks the cluster and its peers against each other and against the other addresses of the file.
+/// Checks the cluster and its peers against each other and against the other addresses in the file.
 pub(super) fn check(config: &OperatorConfig, document: &mut TomlDocument<'_>) {
     let Some(cluster) = &config.cluster else { return };
     check_identity(config, cluster, document);
--- a/src/config/operator/limits.rs
+++ b/src/config/operator/limits.rs
@@ -4,36 +4,36 @@
 use crate::config::diagnostics::{Setting, TomlDocument};
 use serde::Deserialize;
 
-/// Fewest descriptors that a broker can do with.
+/// Smallest limit on open descriptors with which a broker works.
 const MIN_SOCKETS: usize = 64;
 
 /// Limits of the broker.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Most queries and parts in flight.
+    /// Maximum number of queries and parts in flight.
     pub max_open: u32,
-    /// Most open descriptors.
+    /// Limit on open descriptors.
     pub sockets: usize,
-    /// Most attempts of a part.
+    /// Maximum number of attempts per part.
     pub max_attempts: u32,
-    /// Whether requests may be hedged: a part may run at two nodes at once.
+    /// Whether requests may be hedged: a part may run on two nodes at once.
     pub second_copies: bool,
-    /// Longest `Retry-After` of a rejected client, ms; 0: none is sent.
+    /// Longest `Retry-After` for a rejected client, ms; 0 sends none.
     pub max_retry_after_ms: u64,
-    /// Shortest time between two rounds of decisions, ms.
+    /// Shortest interval between decision rounds, ms.
     pub tick_ms: u64,
-    /// Most records in one answer.
+    /// Maximum number of records in one answer.
     pub records: u64,
-    /// Most records requested from a node at once.
+    /// Maximum number of records per request to a node.
     pub page: u64,
-    /// Most result sets of a session.
+    /// Maximum number of result sets per session.
     pub result_sets: usize,
     /// Time after which an idle session is closed, seconds.
     pub session_idle_s: u64,
-    /// Time in which a connection to a node must be established, ms.
+    /// Timeout for establishing a connection to a node, ms.
     pub dial_timeout_ms: u64,
-    /// Most connections to one node.
+    /// Maximum number of connections to one node.
     pub connections_per_node: usize,
     /// Time after which an idle connection to a node is closed, seconds.
     pub node_idle_s: u64,
@@ -60,17 +60,17 @@
 }
 
 impl Limits {
-    /// Checks the section; a query takes a place for itself and one for each of `partitions`.
+    /// Checks the section. In `max_open`, a query counts once for itself and once for each of `partitions`.
     pub(super) fn check(&self, partitions: u32, document: &mut TomlDocument<'_>) {
         self.check_positive(document);
         self.check_times(document);
         if self.sockets < MIN_SOCKETS {
-            let what = format!("limits: {} sockets are too few, {MIN_SOCKETS} are the least", self.sockets);
+            let what = format!("limits: sockets {} must be at least {MIN_SOCKETS}", self.sockets);
             document.report(Setting::new("limits", "sockets"), what);
         }
         if self.max_open < 1 + partitions.min(MAX_PARTITIONS) {
             let what =
-                format!("limits: max_open {} has no room for one query over all partitions", self.max_open);
+                format!("limits: max_open {} is too low for one query over all partitions", self.max_open);
             document.report(Setting::new("limits", "max_open"), what);
         }
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Guards the sums that times go into: none is longer than a day.
+    /// Checks that no time is longer than a day, so that sums of times don't overflow.
     fn check_times(&self, document: &mut TomlDocument<'_>) {
         let times = [
             ("max_retry_after_ms", self.max_retry_after_ms),
--- a/src/config/operator/listeners.rs
+++ b/src/config/operator/listeners.rs
@@ -1,14 +1,14 @@
-//! The sections `listener` and `operation`: the addresses at which the broker is reached.
+//! The sections `listener` and `operation`: the addresses at which the broker listens.
 
 use crate::config::diagnostics::{Setting, TomlDocument};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Descriptors below it are the standard streams.
+/// Lowest descriptor that can be inherited; those below are the standard streams.
 const FIRST_INHERITED_DESCRIPTOR: i32 = 3;
 
-/// A protocol of the catalogue's clients and nodes.
+/// A protocol of catalogue clients and nodes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
@@ -19,7 +19,7 @@
 }
 
 impl Protocol {
-    /// The name that files and discovery use for it.
+    /// Its name in configuration files and in discovery.
     pub fn name(self) -> &'static str {
         match self {
             Protocol::Sru => "sru",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The protocol of this name.
+    /// The protocol with this name.
     pub fn named(name: &str) -> Option<Protocol> {
         [Protocol::Sru, Protocol::Z3950].into_iter().find(|p| p.name() == name)
     }
@@ -37,11 +37,11 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
-    /// The protocol of these clients.
+    /// The protocol of clients at this address.
     pub protocol: Protocol,
-    /// The address to listen at.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// Descriptor of an inherited socket that is bound to the address; without one a socket is opened.
+    /// Descriptor of an inherited socket that is bound to the address; if `None`, a socket is opened.
     pub descriptor: Option<i32>,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Operation {
-    /// The address of the admin endpoint; without one there is none.
+    /// The address of the admin endpoint; `None` disables it.
     pub listen: Option<SocketAddr>,
     /// The directory through which processes at the same addresses coordinate a hot restart.
     pub hand_over: Option<PathBuf>,
--- a/src/config/operator/membership.rs
+++ b/src/config/operator/membership.rs
@@ -1,4 +1,4 @@
-//! The sections `membership` and `routing`: where nodes come from, and how they come back after a failure.
+//! The sections `membership` and `routing`: sources of nodes, and how nodes return to use after a failure.
 
 use super::bounds::{DAY_MS, TEN_YEARS_S};
 use crate::config::diagnostics::{Setting, TomlDocument};
@@ -6,23 +6,23 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Hours of ten years.
+/// Hours in ten years.
 const TEN_YEARS_H: f64 = 24.0 * 3650.0;
 
-/// Sources of nodes beside the operator's file, and where their list is cached.
+/// Sources of nodes besides the operator's file, and where their list is cached.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Membership {
-    /// Address of the discovery that is watched. It has a node's protocol as its `kind`: `sru` or `z3950`.
+    /// Address of the discovery service to watch. A node's `kind` there is its protocol: `sru` or `z3950`.
     pub discovery: Option<SocketAddr>,
-    /// A file of nodes that is read again on SIGHUP. A relative path starts at the operator's file's
-    /// directory.
+    /// A file of nodes that is reloaded on SIGHUP. A relative path is relative to the directory of the
+    /// operator's file.
     pub nodes_file: Option<PathBuf>,
-    /// The directory in which discovery's list is cached over restarts.
+    /// The directory in which the list from discovery is cached across restarts.
     pub keep: Option<PathBuf>,
-    /// Expected mean time between two changes of one node, hours.
+    /// Expected mean time between changes of one node, hours.
     pub changes_every_h: f64,
-    /// Assumed age of a cached list that has no time of its own, seconds.
+    /// Assumed age of a cached list without a timestamp, seconds.
     pub presumed_age_s: u64,
 }
 
@@ -38,13 +38,13 @@
     }
 }
 
-/// How nodes come back after a failure.
+/// How nodes return to use after a failure.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingTimes {
-    /// Length of the recovery ramp, in which a recovered node grows to its full weight, ms.
+    /// Length of the recovery ramp, over which a recovered node's weight rises to its full value, ms.
     pub warm_up_ms: u64,
-    /// Time for which a recovered node must work before its stand-ins are released, ms.
+    /// Time for which a recovered node must stay healthy before the nodes that replace it are released, ms.
     pub hold_ms: u64,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Membership {
-    /// Whether nodes come from elsewhere than the operator's file, too.
+    /// Whether there is a source of nodes besides the operator's file.
     pub(super) fn has_other_source(&self) -> bool {
         self.discovery.is_some() || self.nodes_file.is_some()
     }
@@ -64,7 +64,7 @@
     pub(super) fn check(&self, document: &mut TomlDocument<'_>) {
         if !(self.changes_every_h > 0.0 && self.changes_every_h <= TEN_YEARS_H) {
             let what = format!(
-                "membership: changes_every_h {} must be over 0, and ten years at most",
+                "membership: changes_every_h {} must be over 0 and at most ten years",
                 self.changes_every_h
             );
             document.report(Setting::new("membership", "changes_every_h"), what);
@@ -74,7 +74,7 @@
             document.report(Setting::new("membership", "presumed_age_s"), what);
         }
         if self.keep.is_some() && self.discovery.is_none() {
-            let what = "membership: keep needs discovery, there is no other list to keep";
+            let what = "membership: keep needs discovery, no other list is cached";
             document.report(Setting::new("membership", "keep"), what);
         }
     }
--- a/src/config/operator/mod.rs
+++ b/src/config/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's file of a catalogue broker: its sections, and all that is wrong with them.
+//! The operator's file of a catalogue broker: its sections and their checks.
 
 mod bounds;
 mod classes;
@@ -22,7 +22,7 @@
 use super::error::ConfigError;
 use std::path::{Path, PathBuf};
 
-/// All settings of the top level.
+/// All top-level settings.
 const KNOWN_SETTINGS: [&str; 14] = [
     "name",
     "zone",
@@ -39,7 +39,7 @@
     "cluster",
     "peer",
 ];
-/// Those that must be there.
+/// Top-level settings that must be present.
 const REQUIRED_SETTINGS: [&str; 3] = ["name", "zone", "partitions"];
 
 /// The operator's file of a catalogue broker.
@@ -49,13 +49,13 @@
     pub name: String,
     /// The zone that the broker is in.
     pub zone: String,
-    /// Brokers that share the nodes, this one included.
+    /// Number of brokers that share the nodes, including this one.
     pub brokers: u32,
     /// Limits of the broker.
     pub limits: Limits,
     /// How the catalogue is divided.
     pub partitions: Partitions,
-    /// Classes of query, `[[class]]`.
+    /// Query classes, `[[class]]`.
     pub class: Vec<QueryClass>,
     /// Databases, `[[database]]`.
     pub database: Vec<Database>,
@@ -65,7 +65,7 @@
     pub node: Vec<Node>,
     /// Other sources of nodes, and where their list is cached.
     pub membership: Membership,
-    /// How nodes come back after a failure.
+    /// How nodes return to use after a failure.
     pub routing: RoutingTimes,
     /// The admin endpoint and hot restarts.
     pub operation: Operation,
@@ -74,7 +74,7 @@
 }
 
 impl OperatorConfig {
-    /// Reads the file at `path`. An error names the file and all that is wrong with it.
+    /// Reads the file at `path`. An error has the file's name and all errors in it.
     pub fn from_file(path: &Path) -> Result<OperatorConfig, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::from(e).in_file(path))?;
         let mut config = OperatorConfig::read(&text).map_err(|e| e.in_file(path))?;
@@ -82,12 +82,12 @@
             cluster.file = Some(path.to_owned());
         }
         if let Some(nodes) = &mut config.membership.nodes_file {
-            *nodes = beside(path, nodes);
+            *nodes = resolve_path(path, nodes);
         }
         Ok(config)
     }
 
-    /// All that is wrong with the file at `path`, and with the file of nodes that it names: a line each.
+    /// All errors in the file at `path`, and in the nodes file that it names, one line each.
     pub fn faults(path: &Path) -> Vec<String> {
         let line = |why: String| format!("{}: {why}", path.display());
         let text = match std::fs::read_to_string(path) {
@@ -99,11 +99,11 @@
             Err(diagnostics) => return diagnostics.into_iter().map(|d| line(d.to_string())).collect(),
         };
         let Some(nodes) = &config.membership.nodes_file else { return Vec::new() };
-        let read = NodesFile::from_file(&beside(path, nodes), config.partitions.cells);
+        let read = NodesFile::from_file(&resolve_path(path, nodes), config.partitions.cells);
         read.err().into_iter().map(|e| e.message()).collect()
     }
 
-    /// Reads the file's text. An error holds all that is wrong with it.
+    /// Reads the file's text. An error has all errors in it.
     pub fn read(text: &str) -> Result<OperatorConfig, ConfigError> {
         OperatorConfig::read_all(text).map_err(ConfigError::from)
     }
@@ -113,9 +113,9 @@
         if !document.diagnostics.is_empty() {
             return Err(document.diagnostics);
         }
-        document.check_names(&KNOWN_SETTINGS, &REQUIRED_SETTINGS);
+        document.check_setting_names(&KNOWN_SETTINGS, &REQUIRED_SETTINGS);
         let config = OperatorConfig::from_document(&mut document);
-        // A section that could not be read would be reported twice.
+        // A section that could not be read is reported already; its default value would be reported again.
         if document.diagnostics.is_empty() {
             config.check(&mut document);
         }
@@ -123,7 +123,7 @@
         if document.diagnostics.is_empty() { Ok(config) } else { Err(document.diagnostics) }
     }
 
-    /// Reads each section; what can't be read is reported and replaced by a default.
+    /// Reads each section; one that can't be read is reported and replaced by its default.
     fn from_document(document: &mut TomlDocument<'_>) -> OperatorConfig {
         OperatorConfig {
             name: document.value("name").unwrap_or_default(),
@@ -181,13 +181,13 @@
         }
     }
 
-    /// The CQL index of the composition key.
+    /// The CQL index of the composition key, if one is set.
     pub fn key_index(&self) -> Option<&str> {
         self.partitions.key_index.as_deref()
     }
 }
 
-/// A path as it is meant in the file at `file`: a relative one starts there.
-fn beside(file: &Path, path: &Path) -> PathBuf {
+/// Resolves a path in a configuration file: a relative one starts at the file's directory.
+fn resolve_path(file: &Path, path: &Path) -> PathBuf {
     file.parent().unwrap_or(Path::new("")).join(path)
 }
--- a/src/config/operator/nodes.rs
+++ b/src/config/operator/nodes.rs
@@ -1,4 +1,4 @@
-//! The section `node`, and the file of nodes that may be read beside the operator's file.
+//! The section `node`, and the nodes file that may be read in addition to the operator's file.
 
 use super::bounds::{DAY_MS, MILLISECOND, default_weight};
 use super::listeners::Protocol;
@@ -11,50 +11,50 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Largest weight: the decisions multiply it.
+/// Maximum weight. It is bounded because routing multiplies weights.
 const MAX_WEIGHT: f64 = 1e6;
 
 /// An index node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// Its identifier, also in log lines.
+    /// Its identifier, also used in log lines.
     pub id: String,
     /// Its protocol.
     pub protocol: Protocol,
     /// Its address.
     pub address: SocketAddr,
-    /// The zone it is in.
+    /// The zone that it is in.
     pub zone: String,
     /// Its cell, which determines the partitions it holds.
     pub cell: u32,
-    /// Whether it gets new queries.
+    /// Administrative state, which determines whether it gets new queries.
     #[serde(default)]
     pub standing: AdminState,
-    /// Weight among the nodes of its set; 0: it gets no queries.
+    /// Weight among the nodes of its set; with 0 it gets no queries.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Sets are used in the order of their numbers, the next only when one has no usable node.
+    /// Its set. Sets are used in ascending order, each only if no node of the earlier ones is usable.
     #[serde(default)]
     pub set: u32,
-    /// Whether it is a spare, used only while others have failed.
+    /// Whether it is a spare, which is used only while other nodes have failed.
     #[serde(default)]
     pub spare: Spare,
     /// Identifier of the node that replaces it while it has failed.
     #[serde(default)]
     pub redirect: Option<String>,
-    /// Time after a failure in which it gets no queries, ms.
+    /// Time after a failure during which it gets no queries, ms.
     #[serde(default = "retry_ms")]
     pub retry_ms: u64,
 }
 
-/// A minute, as in mod_jk and httpd.
+/// One minute, as in mod_jk and httpd.
 fn retry_ms() -> u64 {
     60_000
 }
 
 impl Node {
-    /// The node as a record of membership.
+    /// The node as a membership record.
     pub fn fact(&self) -> NodeRecord {
         NodeRecord {
             id: self.id.clone(),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The node's rule of routing.
+    /// The node's routing rule.
     pub fn rule(&self) -> Rule {
         Rule {
             admin_state: self.standing,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The rules of routing of these nodes by id; none at all where every node has the default one.
+/// The routing rules of these nodes by id; empty if every node has the default rule.
 pub fn rules<'a>(nodes: impl Iterator<Item = &'a Node> + Clone) -> HashMap<String, Rule> {
     if nodes.clone().all(|n| n.rule().has_no_effect()) {
         return HashMap::new();
@@ -92,7 +92,7 @@
     nodes.map(|n| (n.id.clone(), n.rule())).collect()
 }
 
-/// A file of nodes.
+/// The nodes file.
 #[derive(Clone, Debug, Default)]
 pub struct NodesFile {
     /// Index nodes.
@@ -100,13 +100,13 @@
 }
 
 impl NodesFile {
-    /// Reads the file at `path`, whose nodes must fit a ring of so many cells. An error names the file and
-    /// all that is wrong with it.
+    /// Reads the file at `path`, whose nodes must be in cells 0 to `cells` - 1. An error has the file's name
+    /// and all errors in it.
     pub fn from_file(path: &Path, cells: u32) -> Result<NodesFile, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::from(e).in_file(path))?;
         let mut document = TomlDocument::new(&text);
         let node = document.records("node");
-        document.check_names(&["node"], &[]);
+        document.check_setting_names(&["node"], &[]);
         check(&node, cells, &mut document);
         if document.diagnostics.is_empty() {
             Ok(NodesFile { node })
@@ -116,7 +116,7 @@
     }
 }
 
-/// Checks each node by itself and against the others.
+/// Checks each node, that identifiers are unique, and that redirects name other nodes.
 pub(super) fn check(nodes: &[Node], cells: u32, document: &mut TomlDocument<'_>) {
     let mut ids = HashSet::new();
     for (n, node) in nodes.iter().enumerate() {
--- a/src/config/operator/partitions.rs
+++ b/src/config/operator/partitions.rs
@@ -1,4 +1,4 @@
-//! The section `partitions`: how the catalogue is divided among cells of nodes.
+//! The section `partitions`: how the catalogue is partitioned over cells of nodes.
 
 use super::bounds::MAX_PARTITIONS;
 use super::nodes::Node;
@@ -6,7 +6,7 @@
 use crate::config::index;
 use serde::Deserialize;
 
-/// How the catalogue is divided.
+/// How the catalogue is partitioned.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Partitions {
@@ -17,7 +17,7 @@
     /// Number of consecutive cells that hold a partition: partition p is in cells p, p + 1 and so on, modulo
     /// `cells`.
     pub holders: u32,
-    /// Name of a partition's database at the nodes, in which `{partition}` is replaced by its number.
+    /// Name of a partition's database on the nodes; `{partition}` in it stands for the partition's number.
     pub database: String,
     /// The CQL index of the composition key, by which records are assigned to partitions.
     pub key_index: Option<String>,
@@ -49,14 +49,14 @@
             document.report(Setting::new("partitions", "holders"), what);
         }
         if let Some(index) = self.key_index.as_deref().filter(|i| index::access_of(i).is_none()) {
-            let what = format!("partitions: key_index {index:?} is no known index");
+            let what = format!("partitions: key_index {index:?} is not a known index");
             document.report(Setting::new("partitions", "key_index"), what);
         }
     }
 
-    /// Checks that each partition is held by one of the nodes, where there are any.
+    /// Checks that at least one node holds each partition, if there are any nodes.
     pub(super) fn check_coverage(&self, nodes: &[Node], document: &mut TomlDocument<'_>) {
-        // More partitions than may be, or no cells, are reported already.
+        // Too many partitions, or no cells, are reported by `check`.
         if self.cells == 0 || self.count > MAX_PARTITIONS || nodes.is_empty() {
             return;
         }
@@ -66,7 +66,7 @@
         let without_node: Vec<u32> = (0..self.count).filter(|partition| !is_held(*partition)).collect();
         if let Some(partition) = without_node.first() {
             let others = without_node.len() - 1;
-            let what = format!("no node holds partition {partition}, nor {others} others");
+            let what = format!("no node holds partition {partition}; others without a node: {others}");
             document.report(Setting::new("partitions", "count"), what);
         }
     }
--- a/src/config/operator/policy_settings.rs
+++ b/src/config/operator/policy_settings.rs
@@ -1,15 +1,16 @@
-//! The operator's file in the terms of the policy.
+//! Conversion of the operator's file to the policy's settings.
 
 use super::OperatorConfig;
 use super::bounds::MILLISECOND;
 use super::classes::QueryClass;
 use crate::api::{Class, Discovery, Idempotency, Settings};
 
-/// What a partial answer earns beside a complete one.
+/// Value of a partial answer relative to a complete one.
 const PARTIAL_ANSWER_VALUE: f64 = 0.9;
-/// A node that has just started falls over when it is sent more than this multiple of its capacity ...
+/// A node that has just started fails if it gets more than this multiple of its capacity for
+/// `OVERLOAD_TIME_MS`.
 const OVERLOAD_CAPACITY_MULTIPLE: f64 = 3.0;
-/// ... for this long, ms.
+/// How long that load must last for the node to fail, ms.
 const OVERLOAD_TIME_MS: u64 = 1_500;
 
 impl QueryClass {
@@ -30,7 +31,7 @@
 }
 
 impl OperatorConfig {
-    /// The number of a zone; every zone that a node is in has one.
+    /// The number of a zone; `u32::MAX` if no node is in it.
     pub fn zone_number(&self, zone: &str) -> u32 {
         let mut zones: Vec<&str> = self.node.iter().map(|n| n.zone.as_str()).collect();
         zones.sort_unstable();
@@ -50,7 +51,7 @@
             shards: partitions.count,
             cells: partitions.cells,
             span: partitions.holders,
-            // Neither protocol has a call for several searches.
+            // Neither protocol supports several searches in one request.
             parts_per_call: 1,
             call_work: 0,
             discovery: Discovery::Pushed,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the file that `GW_CONFIG` names, and the variables beside it.
+//! The platform's configuration: the file named by `GW_CONFIG`, and environment variables.
 
 use super::error::{ConfigError, ConfigErrorKind};
 use super::settings::PlatformSettings;
@@ -26,17 +26,17 @@
     memory_mb: Option<usize>,
 }
 
-/// Most descriptors where the file has no limit.
+/// Limit on open descriptors if the file has none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Fewest descriptors that a broker can do with.
+/// Smallest limit on open descriptors with which a broker works.
 const MIN_SOCKETS: usize = 64;
-/// Most memory where the file has no limit, MB.
+/// Memory limit if the file has none, MB.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Least memory that a broker can do with, MB.
+/// Smallest memory limit with which a broker works, MB.
 const MIN_MEMORY_MB: usize = 16;
-/// Descriptors below it are the standard streams.
+/// Lowest descriptor that can be inherited; those below are the standard streams.
 const FIRST_INHERITED_DESCRIPTOR: i32 = 3;
-/// The directory of hot restarts, in `$TMPDIR`.
+/// Name of the directory for hot restarts, in `$TMPDIR`.
 const HOT_RESTART_DIRECTORY: &str = "pebbleturn-handover";
 
 /// The configuration of one broker on the platform.
@@ -46,53 +46,53 @@
     pub name: String,
     /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The address of the admin endpoint; without one there is none.
+    /// The address of the admin endpoint; `None` disables it.
     pub ops: Option<SocketAddr>,
-    /// Descriptor of the inherited listening socket for clients; without one a socket is opened.
+    /// Descriptor of the inherited listening socket for clients; if `None`, a socket is opened.
     pub inherited: Option<i32>,
-    /// The directory through which processes at this address coordinate a hot restart; without one there are
-    /// no others.
+    /// The directory through which processes at this address coordinate a hot restart; `None` if this is the
+    /// only process.
     pub hand_over: Option<PathBuf>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Most open descriptors.
+    /// Limit on open descriptors.
     pub sockets: usize,
-    /// Most memory, MB.
+    /// Memory limit, MB.
     pub memory_mb: usize,
-    /// The endpoint list that this broker had last.
+    /// The endpoint list to start with: the last one that this broker had.
     pub known: Option<EndpointList>,
-    /// The directory in which the endpoint list is cached over restarts; without one it is not.
+    /// The directory in which the endpoint list is cached across restarts; `None` disables the cache.
     pub keep: Option<PathBuf>,
-    /// The settings object.
+    /// The settings object of the platform.
     pub params: PlatformSettings,
-    /// The file that this was read from; it is read again on SIGHUP.
+    /// The file that this was read from; it is reloaded on SIGHUP.
     pub file: Option<PathBuf>,
 }
 
 impl PlatformConfig {
-    /// Reads the file that `GW_CONFIG` names. A name or an address that it leaves out comes from its
-    /// variable.
+    /// Reads the file named by `GW_CONFIG`. A name or an address that is not in the file is taken from its
+    /// environment variable.
     pub fn from_env() -> Result<PlatformConfig, ConfigError> {
         let path = var("GW_CONFIG").ok_or(ConfigErrorKind::NoFile)?;
         PlatformConfig::from_file(Path::new(&path))
     }
 
-    /// Reads a file. A name or an address that it leaves out comes from its variable.
+    /// Reads a file. A name or an address that is not in it is taken from its environment variable.
     pub fn from_file(path: &Path) -> Result<PlatformConfig, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::from(e).in_file(path))?;
         let config = PlatformConfig::read(&text, var)?;
         Ok(PlatformConfig { file: Some(path.to_owned()), ..config })
     }
 
-    /// Reads a configuration; `var` gives the variables.
+    /// Reads a configuration; `var` looks up environment variables.
     pub fn read(text: &str, var: impl Fn(&str) -> Option<String>) -> Result<PlatformConfig, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let ops = file.ops.or_else(|| var("GW_OPS"));
         let ops = ops.map(|text| parse_address(text, "GW_OPS")).transpose()?;
         let inherited = var("GW_INHERITED_FD").map(parse_descriptor).transpose()?;
-        // Only where the platform holds the socket does it start a process beside this one.
+        // The platform starts a second process beside this one only if it holds the listening socket.
         let hand_over =
             inherited.and(var("TMPDIR")).map(|tmp| PathBuf::from(tmp).join(HOT_RESTART_DIRECTORY));
         let seed = file.seed.map(parse_seed).transpose()?.unwrap_or_else(|| std::process::id().into());
@@ -132,7 +132,7 @@
     u64::from_str_radix(&text, 16).map_err(|source| ConfigErrorKind::Seed { text, source })
 }
 
-/// Most descriptors, and most memory in MB.
+/// The limit on open descriptors, and the memory limit in MB.
 fn limits(limits: Option<Limits>) -> Result<(usize, usize), ConfigErrorKind> {
     let sockets = limits.and_then(|l| l.sockets).unwrap_or(DEFAULT_SOCKETS);
     if sockets < MIN_SOCKETS {
@@ -145,7 +145,7 @@
     Ok((sockets, megabytes))
 }
 
-/// A variable of the process; an empty one counts as missing.
+/// An environment variable; an empty one counts as missing.
 fn var(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|v| !v.is_empty())
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object that the platform and the simulator pass to a broker, and the policy's settings from
-//! it.
+//! The settings object that the platform and the simulator pass to a broker, and its conversion to the
+//! policy's settings.
 
 use crate::api::*;
 use serde::Deserialize;
@@ -87,7 +87,7 @@
     quota_per_s: f64,
 }
 
-/// The names in a settings object, and the numbers that the policy has for them.
+/// The names of zones, classes and tenants in a settings object, with the policy's numbers for them.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     zones: HashMap<String, u32>,
@@ -111,10 +111,10 @@
         self.classes.get(name).copied()
     }
 
-    /// The names of all classes in the order of their numbers.
+    /// The names of all classes, ordered by their numbers.
     pub fn classes(&self) -> Vec<String> {
         let mut classes: Vec<(&String, &usize)> = self.classes.iter().collect();
-        classes.sort_unstable_by_key(|(_, place)| **place);
+        classes.sort_unstable_by_key(|(_, number)| **number);
         classes.into_iter().map(|(name, _)| name.clone()).collect()
     }
 
@@ -124,10 +124,10 @@
     }
 }
 
-/// Why a settings object can't be used.
+/// The error for a settings object that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformSettingsError {
-    /// A request class has an effect that is not known.
+    /// A request class has an unknown effect.
     #[error("class {class}: unknown effect {effect}")]
     UnknownEffect {
         /// Name of the class.
@@ -135,23 +135,23 @@
         /// The effect.
         effect: String,
     },
-    /// A list has no value for each request class.
+    /// A list has fewer values than there are request classes.
     #[error("{list} is shorter than request_classes")]
     ShortList {
         /// Name of the list.
         list: &'static str,
     },
-    /// The kind of discovery is not known.
+    /// The kind of discovery is unknown.
     #[error("unknown discovery {0}")]
     UnknownDiscovery(String),
 }
 
-/// The settings in the policy's terms, and the names that it knows by number.
+/// Converts a settings object to the policy's settings, with the names behind the policy's numbers.
 ///
 /// # Errors
 ///
-/// Fails where an effect or the kind of discovery is not known, or a list has no value for each request
-/// class.
+/// Fails if an effect or the kind of discovery is unknown, or a list has fewer values than there are request
+/// classes.
 pub fn settings(platform: &PlatformSettings) -> Result<(Settings, Names), PlatformSettingsError> {
     let classes = (0..platform.request_classes.len()).map(|n| platform.class(n));
     let classes: Vec<Class> = classes.collect::<Result<_, _>>()?;
@@ -208,14 +208,14 @@
 }
 
 impl Rules {
-    /// The budget of retries; none where the object has no share or no window.
+    /// The retry budget; `None` if the object has no share or no window.
     fn retry_budget(&self) -> Option<RetryBudget> {
         let (share, window) = (self.extra_share?, self.counted_over_ns?);
         Some(RetryBudget { free: self.budget_free.unwrap_or(0.0), share, window })
     }
 }
 
-/// The value of class `n` in an optional list.
+/// The value of class `n` in an optional list; 0 if it is missing.
 fn optional_value(list: &Option<Vec<f64>>, n: usize) -> f64 {
     list.as_ref().and_then(|values| values.get(n).copied()).unwrap_or(0.0)
 }
@@ -260,17 +260,17 @@
         }
     }
 
-    /// Most parts that one connection carries at once.
+    /// Maximum number of concurrent parts on one connection.
     pub fn streams(&self) -> usize {
         self.ceilings.streams_per_conn.unwrap_or(32).max(1) as usize
     }
 
-    /// Time in which a connection must be established.
+    /// Timeout for establishing a connection.
     pub fn dial_timeout(&self) -> Nanos {
         self.ceilings.dial_timeout_ns.unwrap_or(250_000_000)
     }
 
-    /// Time after the notification of a server's draining in which sends to it must cease.
+    /// Time after a server's drain notification within which sends to it must stop.
     pub fn drain_grace(&self) -> Nanos {
         self.rules.drain_grace_ns.unwrap_or(2_000_000_000)
     }
