--- a/src/import/apache.rs
+++ b/src/import/apache.rs
@@ -1,22 +1,23 @@
-//! `BalancerMember`, `ProxySet` and what stands around them in an Apache httpd configuration.
+//! Importer for the balancers of an Apache httpd configuration: `BalancerMember`, `ProxySet` and `ProxyPass`.
 
-use super::{Draft, ImportError, Imported, LARGEST, Member, Work, address, weight};
+use super::{Draft, ImportError, Imported, MAX_NUMBER, Member, RoutingSettings, parse_address, parse_weight};
 use std::collections::BTreeMap;
 
-/// Directives and sections with their first line; lines ending in a backslash go on in the next.
-fn directives(text: &str) -> Vec<(usize, Vec<String>)> {
-    let (mut out, mut held, mut first) = (Vec::new(), String::new(), 0);
+/// Splits a configuration into directives and section tags, each with the number of its first line. A line
+/// that ends in a backslash continues on the next one.
+fn split_directives(text: &str) -> Vec<(usize, Vec<String>)> {
+    let (mut out, mut continued, mut first) = (Vec::new(), String::new(), 0);
     for (n, line) in (1..).zip(text.lines()) {
-        if held.is_empty() {
+        if continued.is_empty() {
             first = n;
         }
         if let Some(start) = line.strip_suffix('\\') {
-            held += start;
-            held.push(' ');
+            continued += start;
+            continued.push(' ');
             continue;
         }
-        held += line;
-        let words = words(std::mem::take(&mut held).trim());
+        continued += line;
+        let words = split_words(std::mem::take(&mut continued).trim());
         if words.first().is_some_and(|w| !w.starts_with('#')) {
             out.push((first, words));
         }
@@ -24,30 +25,31 @@
     out
 }
 
-/// Words, with quotes taken off.
-fn words(line: &str) -> Vec<String> {
-    let (mut out, mut word, mut quote, mut open) = (Vec::new(), String::new(), None, false);
+/// Splits a line into words and removes quotes.
+fn split_words(line: &str) -> Vec<String> {
+    let (mut out, mut word, mut quote, mut is_quoted) = (Vec::new(), String::new(), None, false);
     for c in line.chars() {
         match (c, quote) {
             (c, Some(q)) if c == q => quote = None,
-            ('"' | '\'', None) => (quote, open) = (Some(c), true),
+            ('"' | '\'', None) => (quote, is_quoted) = (Some(c), true),
             (c, None) if c.is_whitespace() => {
-                if open || !word.is_empty() {
+                if is_quoted || !word.is_empty() {
                     out.push(std::mem::take(&mut word));
                 }
-                open = false;
+                is_quoted = false;
             }
             (c, _) => word.push(c),
         }
     }
-    if open || !word.is_empty() {
+    if is_quoted || !word.is_empty() {
         out.push(word);
     }
     out
 }
 
-/// A word with `${NAME}` replaced by what `Define` gave it; names that nothing defines stay as they are.
-fn expanded(word: &str, defined: &BTreeMap<String, String>, unknown: &mut Vec<String>) -> String {
+/// Replaces each `${NAME}` in a word by its value from `Define`. Undefined names are left unchanged and added
+/// to `unknown`.
+fn expand_variables(word: &str, defined: &BTreeMap<String, String>, unknown: &mut Vec<String>) -> String {
     let (mut out, mut rest) = (String::new(), word);
     while let Some((before, after)) = rest.split_once("${") {
         let Some((name, behind)) = after.split_once('}') else { break };
@@ -64,12 +66,15 @@
     out + rest
 }
 
-/// Carries out `Define` and `UnDefine`, and replaces names in all other directives.
-fn defined(directives: Vec<(usize, Vec<String>)>, draft: &mut Draft) -> Vec<(usize, Vec<String>)> {
+/// Evaluates `Define` and `UnDefine`, and expands variables in all other directives.
+fn evaluate_definitions(
+    directives: Vec<(usize, Vec<String>)>,
+    draft: &mut Draft,
+) -> Vec<(usize, Vec<String>)> {
     let (mut names, mut out) = (BTreeMap::new(), Vec::with_capacity(directives.len()));
     for (line, words) in directives {
         let mut unknown = Vec::new();
-        let words: Vec<String> = words.iter().map(|w| expanded(w, &names, &mut unknown)).collect();
+        let words: Vec<String> = words.iter().map(|w| expand_variables(w, &names, &mut unknown)).collect();
         for name in unknown {
             draft.note(line, format!("${{{name}}} is nowhere defined and stays as it is"));
         }
@@ -86,14 +91,14 @@
     out
 }
 
-/// The balancer that a URL names.
-fn balancer(url: &str) -> Option<&str> {
+/// The name of the balancer in a `balancer://` URL.
+fn balancer_name(url: &str) -> Option<&str> {
     let rest = url.get(..11).filter(|s| s.eq_ignore_ascii_case("balancer://")).map(|_| &url[11..])?;
     rest.split('/').next().filter(|n| !n.is_empty())
 }
 
-/// A time as httpd writes it: seconds, or with `ms`, `s`, `min` or `h` behind.
-fn milliseconds(text: &str) -> Option<u64> {
+/// Parses a time of httpd: seconds, or a number with the unit `ms`, `s`, `mi`, `min` or `h`.
+fn parse_milliseconds(text: &str) -> Option<u64> {
     let digits = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let n: u64 = text[..digits].parse().ok()?;
     let scale = match &text[digits..] {
@@ -103,17 +108,17 @@
         "h" => 3_600_000,
         _ => return None,
     };
-    n.checked_mul(scale).filter(|ms| (1..=LARGEST).contains(ms))
+    n.checked_mul(scale).filter(|ms| (1..=MAX_NUMBER).contains(ms))
 }
 
-/// Imports a balancer: the named one, or the first that there is.
+/// Imports a balancer: the one named `wanted`, or the first in the file.
 pub fn read(text: &str, wanted: Option<&str>) -> Result<Imported, ImportError> {
     let mut draft = Draft::default();
-    let directives = defined(directives(text), &mut draft);
+    let directives = evaluate_definitions(split_directives(text), &mut draft);
     let wanted = wanted.map(str::to_owned).or_else(|| first_balancer(&directives));
     let wanted = wanted.ok_or_else(|| ImportError("there is no balancer".into()))?;
     draft.name = wanted.clone();
-    // The balancer of the section that is open; an empty name for a section about something else.
+    // The balancer of the open section; empty if the section is not about a balancer.
     let mut section: Option<String> = None;
     for (line, words) in &directives {
         let line = *line;
@@ -122,24 +127,24 @@
         match name.as_str() {
             "<proxy" => {
                 let url = args.first().map_or("", |u| u.trim_end_matches('>'));
-                section = Some(balancer(url).unwrap_or("").to_owned());
+                section = Some(balancer_name(url).unwrap_or("").to_owned());
             }
             "</proxy>" => section = None,
             "balancermember" | "proxyset" => {
-                // Outside a section, the balancer's URL comes first.
-                let of = match args.first().and_then(|u| balancer(u)) {
-                    Some(of) => {
+                // Outside a section, the balancer's URL is the first argument.
+                let target = match args.first().and_then(|u| balancer_name(u)) {
+                    Some(name) => {
                         args.remove(0);
-                        of.to_owned()
+                        name.to_owned()
                     }
                     None => section.clone().unwrap_or_default(),
                 };
-                if of != wanted {
-                    draft.note(line, format!("{} of another balancer ({of}) is left out", words[0]));
+                if target != wanted {
+                    draft.note(line, format!("{} of another balancer ({target}) is left out", words[0]));
                 } else if name == "proxyset" {
-                    args.iter().for_each(|a| setting(&mut draft, line, a));
+                    args.iter().for_each(|a| apply_setting(&mut draft, line, a));
                 } else {
-                    member(&mut draft, line, &args);
+                    add_member(&mut draft, line, &args);
                 }
             }
             "proxypass" | "proxypassmatch" => {
@@ -148,11 +153,11 @@
                     [path] => ("", path),
                     [] => ("", ""),
                 };
-                match balancer(url) {
-                    Some(of) if of == wanted && name == "proxypass" => {
+                match balancer_name(url) {
+                    Some(target) if target == wanted && name == "proxypass" => {
                         let path = path.trim_matches('/');
                         draft.database = (!path.is_empty()).then(|| path.to_owned());
-                        args.iter().skip(2).for_each(|a| setting(&mut draft, line, a));
+                        args.iter().skip(2).for_each(|a| apply_setting(&mut draft, line, a));
                     }
                     Some(_) | None => draft.note(line, format!("{} has no counterpart", words[0])),
                 }
@@ -164,17 +169,17 @@
 }
 
 fn first_balancer(directives: &[(usize, Vec<String>)]) -> Option<String> {
-    let of = |w: &Vec<String>| {
+    let balancer_of = |w: &Vec<String>| {
         let named = ["<proxy", "balancermember"].contains(&w[0].to_ascii_lowercase().as_str());
         let url = w.get(1).filter(|_| named)?.trim_end_matches('>');
-        balancer(url).map(str::to_owned)
+        balancer_name(url).map(str::to_owned)
     };
-    directives.iter().find_map(|(_, w)| of(w))
+    directives.iter().find_map(|(_, w)| balancer_of(w))
 }
 
-fn member(draft: &mut Draft, line: usize, args: &[&str]) {
+fn add_member(draft: &mut Draft, line: usize, args: &[&str]) {
     let Some((url, settings)) = args.split_first() else {
-        return draft.note(line, "BalancerMember without a URL");
+        return draft.note(line, "BalancerMember has no URL");
     };
     let (scheme, rest) = url.split_once("://").unwrap_or(("", url));
     let default = match scheme.to_ascii_lowercase().as_str() {
@@ -196,82 +201,82 @@
     let port = authority.rsplit_once(':').filter(|(h, _)| !h.contains('[') || h.ends_with(']'));
     let (host, port) = match port.map(|(h, p)| (h, p.parse::<u16>())) {
         Some((host, Ok(port))) => (host, port),
-        Some((_, Err(_))) => return draft.note(line, format!("{url}: a port that is no number")),
+        Some((_, Err(_))) => {
+            return draft.note(line, format!("{url}: the port is not a number from 0 to 65535"));
+        }
         None => (authority, default),
     };
-    let (mut id, mut route, mut work) = (authority.to_owned(), String::new(), Work::default());
+    let (mut id, mut route, mut routing) = (authority.to_owned(), String::new(), RoutingSettings::default());
     for s in settings {
         let (key, value) = s.split_once('=').unwrap_or((s, ""));
-        let carried = match key.to_ascii_lowercase().as_str() {
+        let is_imported = match key.to_ascii_lowercase().as_str() {
             "route" => {
                 (id, route) = (value.to_owned(), value.to_owned());
                 true
             }
             "status" => {
-                status(draft, line, value, &mut work);
+                apply_status(draft, line, value, &mut routing);
                 true
             }
-            "loadfactor" => weight(value).map(|w| work.weight = Some(w)).is_some(),
-            "lbset" => value.parse().map(|n| work.set = Some(n)).is_ok(),
+            "loadfactor" => parse_weight(value).map(|w| routing.weight = Some(w)).is_some(),
+            "lbset" => value.parse().map(|n| routing.set = Some(n)).is_ok(),
             "redirect" if !value.is_empty() => {
-                work.redirect = Some((line, value.to_owned()));
+                routing.redirect = Some((line, value.to_owned()));
                 true
             }
-            // Seconds; 0: at once.
+            // Seconds; with 0 the member is retried at once.
             "retry" if value == "0" => {
-                work.retry_ms = Some(0);
+                routing.retry_ms = Some(0);
                 true
             }
-            "retry" => milliseconds(value).map(|ms| work.retry_ms = Some(ms)).is_some(),
+            "retry" => parse_milliseconds(value).map(|ms| routing.retry_ms = Some(ms)).is_some(),
             _ => false,
         };
-        if !carried {
-            setting(draft, line, s);
+        if !is_imported {
+            apply_setting(draft, line, s);
         }
     }
-    match address(host, port) {
-        Some(address) => draft.add(Member { id, address, zone: None, line, route, work }),
+    match parse_address(host, port) {
+        Some(address) => draft.add(Member { id, address, zone: None, line, route, routing }),
         None => draft.note(line, format!("{host} is a name: a node needs an address, so it is left out")),
     }
 }
 
-/// The letters of `status`: `+` before a letter sets it, `-` takes it back.
-fn status(draft: &mut Draft, line: usize, letters: &str, work: &mut Work) {
+/// Applies the letters of `status`: those after a `-` are cleared, those after a `+` are set again.
+fn apply_status(draft: &mut Draft, line: usize, letters: &str, routing: &mut RoutingSettings) {
     let mut set = true;
     for c in letters.chars() {
-        let told = |to: &'static str| set.then_some(to);
+        let value = |name: &'static str| set.then_some(name);
         match c.to_ascii_uppercase() {
             '+' => set = true,
             '-' => set = false,
-            'D' => work.standing = told("disabled"),
-            'S' => work.standing = told("stopped"),
-            'N' => work.standing = told("draining"),
-            'R' => work.spare = told("hot"),
-            'H' => work.spare = told("standby"),
+            'D' => routing.admin_state = value("disabled"),
+            'S' => routing.admin_state = value("stopped"),
+            'N' => routing.admin_state = value("draining"),
+            'R' => routing.spare = value("hot"),
+            'H' => routing.spare = value("standby"),
             other => draft.note(line, format!("status {other:?} has no counterpart")),
         }
     }
 }
 
-fn setting(draft: &mut Draft, line: usize, word: &str) {
+/// Applies a setting that holds for all nodes, or notes that it has no counterpart.
+fn apply_setting(draft: &mut Draft, line: usize, word: &str) {
     let (key, value) = word.split_once('=').unwrap_or((word, ""));
-    let (ms, n) = (milliseconds(value), value.parse::<u64>().ok().filter(|n| *n > 0));
-    let place = match key.to_ascii_lowercase().as_str() {
+    let (ms, n) = (parse_milliseconds(value), value.parse::<u64>().ok().filter(|n| *n > 0));
+    let field = match key.to_ascii_lowercase().as_str() {
         "timeout" => ms.map(|_| &mut draft.deadline_ms).zip(ms),
         "connectiontimeout" => ms.map(|_| &mut draft.dial_timeout_ms).zip(ms),
         "ttl" => ms.map(|_| &mut draft.idle_s).zip(ms.map(|ms| ms.div_ceil(1000))),
         "max" => n.map(|_| &mut draft.connections).zip(n),
-        // httpd counts the tries after the first.
+        // httpd counts only the attempts after the first.
         "maxattempts" => n.map(|_| &mut draft.attempts).zip(n.map(|n| n + 1)),
         _ => None,
     };
-    match place {
-        Some((place, value)) => {
-            if let Some(before) = place.replace(value).filter(|b| *b != value) {
-                draft.note(
-                    line,
-                    format!("{word} takes the place of {before}: there is one value for all nodes"),
-                );
+    match field {
+        Some((field, value)) => {
+            if let Some(before) = field.replace(value).filter(|b| *b != value) {
+                draft.note(line, format!("{word} replaces {before}: there is one value for all nodes"));
             }
         }
         None => draft.note(line, format!("{word} has no counterpart")),
--- a/src/import/mod.rs
+++ b/src/import/mod.rs
@@ -1,6 +1,6 @@
-//! Importers: balancer configurations of other programs into the operator's file.
+//! Importers, which convert balancer configurations of other programs to the operator's file.
 //!
-//! What has no counterpart is never dropped in silence: it comes back as a note with its line.
+//! Every setting without a counterpart is reported as a note with its line.
 
 mod apache;
 mod jk;
@@ -11,12 +11,12 @@
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-/// Something in the source that has no counterpart, or is to be looked at.
+/// A remark on something in the source that has no counterpart or needs a check by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// The line, from 1; 0 for the file as a whole.
+    /// Line number, from 1; 0 for the file as a whole.
     pub line: usize,
-    /// What it is about.
+    /// The remark, without the line number.
     pub text: String,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A source that can't be imported.
+/// The error for a source that can't be imported, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ImportError(pub String);
 
@@ -41,58 +41,61 @@
 
 impl std::error::Error for ImportError {}
 
-/// What came out of a source.
+/// The result of an import.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Imported {
-    /// The operator's file.
+    /// The text of the operator's file.
     pub file: String,
-    /// What to look at.
+    /// Remarks for the operator, ordered by line.
     pub notes: Vec<Note>,
 }
 
+/// A member of the imported balancer, which becomes a node.
 #[derive(Clone, Debug)]
 struct Member {
     id: String,
     address: SocketAddr,
     zone: Option<String>,
     line: usize,
-    /// The name by which others may refer to it.
+    /// The name by which other members' redirects refer to it.
     route: String,
-    work: Work,
+    routing: RoutingSettings,
 }
 
-/// What a source says of a member's work, as far as the operator's file can say it.
+/// A member's routing settings that have a counterpart in the operator's file.
 #[derive(Clone, Debug, Default)]
-struct Work {
-    standing: Option<&'static str>,
+struct RoutingSettings {
+    admin_state: Option<&'static str>,
     weight: Option<f64>,
     set: Option<u32>,
     spare: Option<&'static str>,
-    /// The stand-in by its route, and the line that names it.
+    /// Line of the setting, and route of the member that replaces this one after a failure. The route is
+    /// replaced by the member's id in `resolve_redirects`.
     redirect: Option<(usize, String)>,
     retry_ms: Option<u64>,
 }
 
-impl Work {
+impl RoutingSettings {
+    /// Writes the settings that are set as lines of a `[[node]]` section.
     fn write(&self) -> String {
         let mut out = String::new();
-        let mut put = |line: Option<String>| out += &line.unwrap_or_default();
-        put(self.standing.map(|s| format!("standing = \"{s}\"\n")));
-        put(self.weight.map(|w| format!("weight = {w:?}\n")));
-        put(self.set.map(|s| format!("set = {s}\n")));
-        put(self.spare.map(|s| format!("spare = \"{s}\"\n")));
-        put(self.redirect.as_ref().map(|(_, to)| format!("redirect = \"{to}\"\n")));
-        put(self.retry_ms.map(|ms| format!("retry_ms = {ms}\n")));
+        let mut append = |line: Option<String>| out += &line.unwrap_or_default();
+        append(self.admin_state.map(|s| format!("standing = \"{s}\"\n")));
+        append(self.weight.map(|w| format!("weight = {w:?}\n")));
+        append(self.set.map(|s| format!("set = {s}\n")));
+        append(self.spare.map(|s| format!("spare = \"{s}\"\n")));
+        append(self.redirect.as_ref().map(|(_, to)| format!("redirect = \"{to}\"\n")));
+        append(self.retry_ms.map(|ms| format!("retry_ms = {ms}\n")));
         out
     }
 }
 
-/// A weight as sources write it.
-fn weight(text: &str) -> Option<f64> {
+/// Parses a weight; `None` if it is not a number from 0 to 1e6.
+fn parse_weight(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|w| (0.0..=1e6).contains(w))
 }
 
-/// What both kinds of source are read into.
+/// The imported settings, common to all importers, from which the operator's file is written.
 #[derive(Debug, Default)]
 struct Draft {
     name: String,
@@ -103,26 +106,27 @@
     connections: Option<u64>,
     idle_s: Option<u64>,
     attempts: Option<u64>,
-    /// Time after a failure, of all members.
+    /// Time after a failure during which a member gets no queries, for all members.
     retry_ms: Option<u64>,
     notes: Vec<Note>,
 }
 
-/// Largest number that is taken over; a day in milliseconds is the longest time there is.
-const LARGEST: u64 = 86_400_000;
+/// Largest number that is imported: a day in milliseconds, the longest time in the operator's file.
+const MAX_NUMBER: u64 = 86_400_000;
 
-/// Deadline where the source tells none.
-const DEADLINE_MS: u64 = 30_000;
+/// Deadline if the source has no time-out.
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// A name that can stand in the operator's file.
-fn plain(name: &str) -> String {
+/// Makes a name valid in the operator's file: characters other than ASCII letters, digits, `-`, `_` and `.`
+/// become `-`.
+fn sanitize_name(name: &str) -> String {
     let kept = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '-' };
     let name: String = name.chars().map(kept).collect();
     if name.trim_matches('-').is_empty() { "unnamed".into() } else { name }
 }
 
-/// An address; a name can't be looked up.
-fn address(host: &str, port: u16) -> Option<SocketAddr> {
+/// Parses an address; `None` for host names other than `localhost`, since names are not resolved.
+fn parse_address(host: &str, port: u16) -> Option<SocketAddr> {
     let host = host.trim_start_matches('[').trim_end_matches(']');
     let ip = if host.eq_ignore_ascii_case("localhost") {
         Ok(IpAddr::V4(Ipv4Addr::LOCALHOST))
@@ -138,9 +142,9 @@
     }
 
     fn add(&mut self, mut member: Member) {
-        member.id = plain(&member.id);
+        member.id = sanitize_name(&member.id);
         let line = member.line;
-        // Names that differ only in case are one name to some who read logs and files.
+        // Names that differ only in case are easily confused in logs, and some tools treat them as the same.
         let other = self.members.iter().find(|m| m.id.eq_ignore_ascii_case(&member.id));
         if let Some((before, first)) = other.map(|m| (m.id.clone(), m.line)) {
             let id = (2..)
@@ -157,20 +161,21 @@
         self.members.push(member);
     }
 
-    /// Turns the routes that redirects name into ids.
+    /// Replaces the routes in redirects by the ids of their members.
     fn resolve_redirects(&mut self) {
         let known: Vec<(String, String)> =
             self.members.iter().map(|m| (m.route.clone(), m.id.clone())).collect();
         for n in 0..self.members.len() {
-            let Some((line, to)) = self.members[n].work.redirect.take() else { continue };
-            let found = known.iter().find(|(route, id)| *route == to && *id != self.members[n].id);
-            match found {
-                Some((_, id)) => self.members[n].work.redirect = Some((line, id.clone())),
+            let Some((line, to)) = self.members[n].routing.redirect.take() else { continue };
+            let target = known.iter().find(|(route, id)| *route == to && *id != self.members[n].id);
+            match target {
+                Some((_, id)) => self.members[n].routing.redirect = Some((line, id.clone())),
                 None => self.note(line, format!("redirect to {to}, which is no other member, is left out")),
             }
         }
     }
 
+    /// Writes the operator's file.
     fn write(mut self) -> Result<Imported, ImportError> {
         if self.members.is_empty() {
             return Err(ImportError(format!(
@@ -179,10 +184,10 @@
             )));
         }
         self.resolve_redirects();
-        let name = plain(&self.name);
-        let database = plain(self.database.as_deref().unwrap_or(&name));
-        let deadline = self.deadline_ms.unwrap_or(DEADLINE_MS);
-        let zone = |m: &Member| m.zone.as_deref().map_or("default".into(), plain);
+        let name = sanitize_name(&self.name);
+        let database = sanitize_name(self.database.as_deref().unwrap_or(&name));
+        let deadline = self.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
+        let zone = |m: &Member| m.zone.as_deref().map_or("default".into(), sanitize_name);
         let mut out = format!("name = \"{name}\"\nzone = \"{}\"\n\n[limits]\n", zone(&self.members[0]));
         let limits = [
             ("max_attempts", self.attempts),
@@ -193,7 +198,7 @@
         for (key, value) in limits {
             out += &value.map_or(String::new(), |v| format!("{key} = {v}\n"));
         }
-        // A balancer's members are copies of each other: one partition, held by all.
+        // All members of a balancer are replicas: there is one partition, which every node holds.
         out += &format!(
             "\n[partitions]\ncount = 1\ncells = 1\nholders = 1\ndatabase = \"{database}\"\n\n[[class]]\n\
              name = \"{database}\"\naim_ms = {}\ndeadline_ms = {deadline}\nlate_worth = 0.3\n\n[[database]]\n\
@@ -209,11 +214,11 @@
                 m.id,
                 m.address,
                 zone(m),
-                m.work.write()
+                m.routing.write()
             );
         }
         if self.deadline_ms.is_none() {
-            self.note(0, format!("no time-out is told: the class has {DEADLINE_MS} ms"));
+            self.note(0, format!("no time-out is told: the class has {DEFAULT_DEADLINE_MS} ms"));
         }
         self.note(0, "listeners are not in the source: those written are to be checked");
         self.notes.sort_by_key(|n| if n.line == 0 { usize::MAX } else { n.line });
