--- a/tests/config_errors.rs
+++ b/tests/config_errors.rs
@@ -1,11 +1,11 @@
-//! What the errors of a configuration say, and the causes that they keep.
+//! Messages and causes of configuration errors.
 
 use pebbleturn::config::{ConfigErrorKind, NodesFile, OperatorConfig, PlatformConfig};
 use std::error::Error;
 use std::net::AddrParseError;
 use std::path::Path;
 
-/// Whether an error of this type is among the causes.
+/// Whether an error of type `E` is in the chain of causes.
 fn is_caused_by<E: Error + 'static>(error: &dyn Error) -> bool {
     error.source().is_some_and(|cause| cause.is::<E>() || is_caused_by::<E>(cause))
 }
--- a/tests/import.rs
+++ b/tests/import.rs
@@ -1,4 +1,4 @@
-//! Importers: what they make must be an operator's file that is taken, and nothing is dropped in silence.
+//! Importers: they write a valid operator's file, and report each setting without a counterpart.
 
 use pebbleturn::config::OperatorConfig;
 use pebbleturn::import::{Imported, read_apache, read_jk};
@@ -21,12 +21,13 @@
 ProxyPreserveHost On
 "#;
 
-fn said(i: &Imported, line: usize, word: &str) -> bool {
+/// Whether a note on this line contains the word.
+fn has_note(i: &Imported, line: usize, word: &str) -> bool {
     i.notes.iter().any(|n| n.line == line && n.text.contains(word))
 }
 
 #[test]
-fn an_apache_balancer_becomes_a_file_that_is_taken() {
+fn an_apache_balancer_is_imported_as_a_valid_file() {
     let i = read_apache(APACHE, None).unwrap();
     let o = OperatorConfig::read(&i.file).unwrap();
     let nodes: Vec<String> = o.node.iter().map(|n| format!("{} {}", n.id, n.address)).collect();
@@ -50,7 +51,7 @@
         (14, "stickysession"),
         (15, "ProxyPreserveHost"),
     ] {
-        assert!(said(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
+        assert!(has_note(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
     }
     assert_eq!(
         OperatorConfig::read(&read_apache(APACHE, Some("other")).unwrap().file).unwrap().node.len(),
@@ -81,7 +82,7 @@
 ";
 
 #[test]
-fn mod_jk_workers_become_a_file_that_is_taken() {
+fn mod_jk_workers_are_imported_as_a_valid_file() {
     let i = read_jk(JK, None).unwrap();
     let o = OperatorConfig::read(&i.file).unwrap();
     let nodes: Vec<String> = o.node.iter().map(|n| format!("{} {} {}", n.id, n.address, n.zone)).collect();
@@ -90,13 +91,13 @@
     assert_eq!((o.node[1].weight, o.node[2].standing), (2.0, AdminState::Disabled));
     assert_eq!((o.name.as_str(), o.class[0].deadline_ms), ("lb", 9000));
     for (line, word) in [(5, "socket_timeout"), (18, "sticky_session"), (19, "status")] {
-        assert!(said(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
+        assert!(has_note(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
     }
     assert!(read_jk(JK, Some("none")).is_err() && read_jk("worker.list=", None).is_err());
 }
 
 #[test]
-fn what_httpd_says_of_a_members_work_is_carried() {
+fn routing_settings_of_apache_members_are_imported() {
     let text = r#"Define POOL scores
 Define NET 127.0.0
 UnDefine NOTHING
@@ -128,14 +129,14 @@
         (10, "loadfactor=-1"),
         (11, "ELSEWHERE"),
     ] {
-        assert!(said(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
+        assert!(has_note(&i, line, word), "line {line}: {word}\n{:?}", i.notes);
     }
-    // The same source gives the same file.
+    // The same source gives the same result.
     assert_eq!(read_apache(text, None).unwrap(), i);
 }
 
 #[test]
-fn what_mod_jk_says_of_a_workers_work_is_carried() {
+fn routing_settings_of_mod_jk_workers_are_imported() {
     let text = "worker.list=lb
 worker.template.type=ajp13
 worker.template.lbfactor=4
@@ -161,18 +162,18 @@
     let n = &o.node;
     assert_eq!((n[0].weight, n[0].redirect.as_deref(), n[0].retry_ms), (4.0, Some("far"), 20_000));
     assert_eq!((n[1].weight, n[1].set, n[1].standing), (4.0, 2, AdminState::Disabled));
-    let standings: Vec<AdminState> = n[2..].iter().map(|n| n.standing).collect();
-    assert_eq!(standings, [AdminState::Stopped, AdminState::Disabled, AdminState::Active]);
-    assert!(said(&i, 15, "asleep"), "{:?}", i.notes);
+    let states: Vec<AdminState> = n[2..].iter().map(|n| n.standing).collect();
+    assert_eq!(states, [AdminState::Stopped, AdminState::Disabled, AdminState::Active]);
+    assert!(has_note(&i, 15, "asleep"), "{:?}", i.notes);
     assert!(
         i.notes.iter().all(|n| !n.text.contains("template")),
-        "a template is no stray worker: {:?}",
+        "a template is reported as unused: {:?}",
         i.notes
     );
 }
 
 #[test]
-fn odd_sources_break_no_importer() {
+fn malformed_sources_do_not_panic() {
     for text in [
         "",
         "\\",
