--- a/src/config/operator/nodes.rs
+++ b/src/config/operator/nodes.rs
@@ -55,7 +55,7 @@
 
 impl Node {
     /// The node as a membership record.
-    pub fn fact(&self) -> NodeRecord {
+    pub fn to_record(&self) -> NodeRecord {
         NodeRecord {
             id: self.id.clone(),
             addr: Some(self.address),
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -54,7 +54,7 @@
     pub inherited: Option<i32>,
     /// The directory through which processes at this address coordinate a hot restart; `None` if this is the
     /// only process.
-    pub hand_over: Option<PathBuf>,
+    pub hot_restart_directory: Option<PathBuf>,
     /// Seed of the random number generator.
     pub seed: u64,
     /// Limit on open descriptors.
@@ -62,11 +62,11 @@
     /// Memory limit, MB.
     pub memory_mb: usize,
     /// The endpoint list to start with: the last one that this broker had.
-    pub known: Option<EndpointList>,
+    pub initial_list: Option<EndpointList>,
     /// The directory in which the endpoint list is cached across restarts; `None` disables the cache.
-    pub keep: Option<PathBuf>,
+    pub cache_directory: Option<PathBuf>,
     /// The settings object of the platform.
-    pub params: PlatformSettings,
+    pub platform_settings: PlatformSettings,
     /// The file that this was read from; it is reloaded on SIGHUP.
     pub file: Option<PathBuf>,
 }
@@ -93,7 +93,7 @@
         let ops = ops.map(|text| parse_address(text, "GW_OPS")).transpose()?;
         let inherited = var("GW_INHERITED_FD").map(parse_descriptor).transpose()?;
         // The platform starts a second process beside this one only if it holds the listening socket.
-        let hand_over =
+        let hot_restart_directory =
             inherited.and(var("TMPDIR")).map(|tmp| PathBuf::from(tmp).join(HOT_RESTART_DIRECTORY));
         let seed = file.seed.map(parse_seed).transpose()?.unwrap_or_else(|| std::process::id().into());
         let (sockets, memory_mb) = limits(file.limits)?;
@@ -107,13 +107,13 @@
             discovery: address(file.discovery, "GW_DISCOVERY")?,
             ops,
             inherited,
-            hand_over,
+            hot_restart_directory,
             seed,
             sockets,
             memory_mb,
-            known: file.known,
-            keep: file.keep.or_else(|| var("PEBBLETURN_KEEP").map(PathBuf::from)),
-            params: file.settings,
+            initial_list: file.known,
+            cache_directory: file.keep.or_else(|| var("PEBBLETURN_KEEP").map(PathBuf::from)),
+            platform_settings: file.settings,
             file: None,
         })
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -261,7 +261,7 @@
     }
 
     /// Maximum number of concurrent parts on one connection.
-    pub fn streams(&self) -> usize {
+    pub fn streams_per_connection(&self) -> usize {
         self.ceilings.streams_per_conn.unwrap_or(32).max(1) as usize
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// Time after which servers close an idle connection.
-    pub fn idle(&self) -> Nanos {
+    pub fn idle_timeout(&self) -> Nanos {
         self.ceilings.conn_idle_ns.unwrap_or(30_000_000_000)
     }
 }
--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -67,7 +67,7 @@
 
 impl NodeFiles {
     fn facts(&self, file: &NodesFile) -> Vec<NodeRecord> {
-        self.own.iter().chain(&file.node).map(Node::fact).collect()
+        self.own.iter().chain(&file.node).map(Node::to_record).collect()
     }
 
     fn rules(&self, file: &NodesFile) -> HashMap<String, Rule> {
--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -64,7 +64,7 @@
 
 /// Builds a broker that listens; tells where.
 pub fn broker(told: PlatformConfig) -> Result<(Broker<PlatformFrontend>, SocketAddr), BrokerError> {
-    let (settings, names) = config::settings(&told.params).map_err(ConfigError::from)?;
+    let (settings, names) = config::settings(&told.platform_settings).map_err(ConfigError::from)?;
     let clock = Clock::start();
     let now = clock.now();
     // Guards the limit on descriptors: what connections to shard servers may take is not given to clients. In a
@@ -73,20 +73,20 @@
     let (to_servers, most) = divide(told.sockets, apart);
     let mut net = PollLoop::new(Pool::with_byte_limit((told.memory_mb << 20) / BUFFERS), most)
         .map_err(BrokerError::io("poll"))?;
-    let grace = told.params.drain_grace();
+    let grace = told.platform_settings.drain_grace();
     let grace_ms = grace / NANOS_PER_MILLI;
     let max_poll_interval_ms = settings.max_poll_interval / NANOS_PER_MILLI;
     let endpoint_discovery = settings.discovery;
     tracing::info!(?endpoint_discovery, max_poll_interval_ms, grace_ms, "settings of the endpoint list");
     let limits = UpstreamLimits {
-        streams: told.params.streams(),
-        dial_timeout: told.params.dial_timeout(),
-        idle: told.params.idle(),
+        streams: told.platform_settings.streams_per_connection(),
+        dial_timeout: told.platform_settings.dial_timeout(),
+        idle: told.platform_settings.idle_timeout(),
         silent: settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(SILENT).min(SILENT),
         most: to_servers,
     };
     let mut servers = Upstream::new(SERVERS, limits);
-    let (kept, keeper) = told.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
+    let (kept, keeper) = told.cache_directory.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
     let mut roster = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
         warm_up: settings.slow_start_time,
@@ -102,12 +102,13 @@
         max_in_flight: settings.max_in_flight as usize,
         retry_budget_window: settings.retry_budget.map_or(0, |b| b.window),
     };
-    let handed = told.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, limits_of_all, now));
+    let handed =
+        told.hot_restart_directory.as_deref().and_then(|dir| HotRestart::open(dir, limits_of_all, now));
     if let Some(joined) = &handed {
         roster.restore(&joined.snapshots, now);
     }
     roster.restore(&kept, now);
-    if let Some(list) = &told.known {
+    if let Some(list) = &told.initial_list {
         roster.add_configured(list, now);
     }
     let out = handed
@@ -115,7 +116,7 @@
         .flat_map(|joined| joined.overrides.suspended_servers())
         .map(str::to_owned)
         .collect::<Vec<_>>();
-    let dial_timeout = told.params.dial_timeout();
+    let dial_timeout = told.platform_settings.dial_timeout();
     let (schedule, terms) = match settings.discovery {
         Discovery::Pushed => {
             (WatchSchedule::for_pushed_lists(dial_timeout, grace, told.seed), LeaseTerms::for_pushed(grace))
