--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -67,7 +67,7 @@
 
 /// Builds a broker that listens, and returns the address at which clients connect.
 pub fn broker(config: PlatformConfig) -> Result<(Broker<PlatformFrontend>, SocketAddr), BrokerError> {
-    let (settings, names) = config::settings(&config.params).map_err(ConfigError::from)?;
+    let (settings, names) = config::settings(&config.platform_settings).map_err(ConfigError::from)?;
     let clock = Clock::start();
     let now = clock.now();
     // Keeps within the descriptor limit: the share of connections to shard servers is not available to
@@ -78,15 +78,15 @@
     let mut net =
         PollLoop::new(Pool::with_byte_limit((config.memory_mb << 20) / BUFFER_MEMORY_DIVISOR), max_clients)
             .map_err(BrokerError::io("poll"))?;
-    let grace = config.params.drain_grace();
+    let grace = config.platform_settings.drain_grace();
     let grace_ms = grace / NANOS_PER_MILLI;
     let max_poll_interval_ms = settings.max_poll_interval / NANOS_PER_MILLI;
     let endpoint_discovery = settings.discovery;
     tracing::info!(?endpoint_discovery, max_poll_interval_ms, grace_ms, "settings of the endpoint list");
     let limits = UpstreamLimits {
-        streams: config.params.streams(),
-        dial_timeout: config.params.dial_timeout(),
-        idle_timeout: config.params.idle(),
+        streams: config.platform_settings.streams_per_connection(),
+        dial_timeout: config.platform_settings.dial_timeout(),
+        idle_timeout: config.platform_settings.idle_timeout(),
         silence_timeout: settings
             .classes
             .iter()
@@ -97,7 +97,8 @@
         max_connections: max_upstream,
     };
     let mut servers = Upstream::new(SERVERS, limits);
-    let (cached, snapshot_writer) = config.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
+    let (cached, snapshot_writer) =
+        config.cache_directory.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
     let mut registry = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
         warm_up: settings.slow_start_time,
@@ -114,12 +115,12 @@
         retry_budget_window: settings.retry_budget.map_or(0, |b| b.window),
     };
     let hot_restart_group =
-        config.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, shared_limits, now));
+        config.hot_restart_directory.as_deref().and_then(|dir| HotRestart::open(dir, shared_limits, now));
     if let Some(joined) = &hot_restart_group {
         registry.restore(&joined.snapshots, now);
     }
     registry.restore(&cached, now);
-    if let Some(list) = &config.known {
+    if let Some(list) = &config.initial_list {
         registry.add_configured(list, now);
     }
     let suspended = hot_restart_group
@@ -127,7 +128,7 @@
         .flat_map(|joined| joined.overrides.suspended_servers())
         .map(str::to_owned)
         .collect::<Vec<_>>();
-    let dial_timeout = config.params.dial_timeout();
+    let dial_timeout = config.platform_settings.dial_timeout();
     let (schedule, terms) = match settings.discovery {
         Discovery::Pushed => {
             (WatchSchedule::for_pushed_lists(dial_timeout, grace, config.seed), LeaseTerms::for_pushed(grace))
