--- a/src/frontends/catalogue/cql.rs
+++ b/src/frontends/catalogue/cql.rs
@@ -59,7 +59,7 @@
     let mut p = Parser { tokens: tokens(query)?, at: 0, operators: 0, prefixes: Vec::new() };
     let search = p.query(0)?;
     match p.peek() {
-        None => search.check(),
+        None => search.check_operator_count(),
         Some(Token::Text { raw, .. }) if raw.eq_ignore_ascii_case("sortby") => {
             Err(Diagnostic::new(Trouble::UnsupportedSort, "sortBy"))
         }
@@ -108,8 +108,8 @@
         let mut left = self.clause(depth)?;
         while let Some(operator) = self.operator()? {
             self.operators += 1;
-            if self.operators > MOST_OPERATORS {
-                return Err(Diagnostic::too_many_operators(MOST_OPERATORS));
+            if self.operators > MAX_OPERATORS {
+                return Err(Diagnostic::too_many_operators(MAX_OPERATORS));
             }
             left = Search::join(operator, left, self.clause(depth)?);
         }
@@ -263,7 +263,7 @@
 pub fn write(search: &Search) -> Result<String, Diagnostic> {
     match search {
         Search::Clause(c) => write_clause(c),
-        Search::Both(operator, l, r) => {
+        Search::Binary(operator, l, r) => {
             let word = match operator {
                 Operator::And => "and",
                 Operator::Or => "or",
@@ -285,7 +285,7 @@
         (Relation::NotEqual, _) => "<>",
         (Relation::Equal, _) if c.complete_field => "exact",
         (Relation::Equal, Structure::WordList) => "all",
-        (Relation::Equal, Structure::Phrase) if Structure::plain(&c.term) == Structure::Word => "adj",
+        (Relation::Equal, Structure::Phrase) if Structure::default_for(&c.term) == Structure::Word => "adj",
         (Relation::Equal, _) => "=",
     };
     let (left, right) = match c.truncation {
--- a/src/frontends/catalogue/rpn.rs
+++ b/src/frontends/catalogue/rpn.rs
@@ -13,7 +13,7 @@
     let [set, structure] = query else { return Err(malformed("an RPN query has two parts")) };
     let set = set.as_oid().ok_or_else(|| malformed("no attribute set"))?;
     check_set(&set)?;
-    structure_of(structure, stored, 0)?.check()
+    structure_of(structure, stored, 0)?.check_operator_count()
 }
 
 fn malformed(what: &str) -> Diagnostic {
@@ -29,8 +29,8 @@
     stored: &impl Fn(&str) -> Option<Search>,
     depth: usize,
 ) -> Result<Search, Diagnostic> {
-    if depth > MOST_OPERATORS {
-        return Err(Diagnostic::too_many_operators(MOST_OPERATORS));
+    if depth > MAX_OPERATORS {
+        return Err(Diagnostic::too_many_operators(MAX_OPERATORS));
     }
     match (e.tag, e.values()) {
         (tag, [operand]) if tag == Tag::ctx(0) => match operand.tag {
@@ -132,7 +132,7 @@
 fn structure(search: &Search) -> Element {
     match search {
         Search::Clause(c) => Element::of(Tag::ctx(0), vec![operand(c)]),
-        Search::Both(operator, l, r) => {
+        Search::Binary(operator, l, r) => {
             let number = match operator {
                 Operator::And => 0,
                 Operator::Or => 1,
--- a/src/frontends/catalogue/search.rs
+++ b/src/frontends/catalogue/search.rs
@@ -4,7 +4,7 @@
 pub use crate::config::index::{CONTEXT_SETS, access_of, index_of, indexes};
 
 /// Most operators in one search. Guards the stack and the nodes.
-pub const MOST_OPERATORS: usize = 64;
+pub const MAX_OPERATORS: usize = 64;
 
 /// An operator between two searches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     /// One term.
     Clause(Clause),
     /// Two searches and the operator between them.
-    Both(Operator, Box<Search>, Box<Search>),
+    Binary(Operator, Box<Search>, Box<Search>),
 }
 
 impl Clause {
@@ -93,7 +93,7 @@
         Clause {
             access,
             relation: Relation::Equal,
-            structure: Structure::plain(&term),
+            structure: Structure::default_for(&term),
             truncation: Truncation::None,
             first_in_field: false,
             complete_field: false,
@@ -104,7 +104,7 @@
 
 impl Structure {
     /// What a term reads as where nothing is said: a word, or a phrase if there are more.
-    pub fn plain(term: &str) -> Structure {
+    pub fn default_for(term: &str) -> Structure {
         if term.split_whitespace().nth(1).is_some() { Structure::Phrase } else { Structure::Word }
     }
 }
@@ -112,21 +112,21 @@
 impl Search {
     /// Two searches joined.
     pub fn join(operator: Operator, left: Search, right: Search) -> Search {
-        Search::Both(operator, Box::new(left), Box::new(right))
+        Search::Binary(operator, Box::new(left), Box::new(right))
     }
 
     /// Operators in it.
-    pub fn operators(&self) -> usize {
+    pub fn operator_count(&self) -> usize {
         match self {
             Search::Clause(_) => 0,
-            Search::Both(_, l, r) => 1 + l.operators() + r.operators(),
+            Search::Binary(_, l, r) => 1 + l.operator_count() + r.operator_count(),
         }
     }
 
     /// Refuses what is too long to be worked on.
-    pub fn check(self) -> Result<Search, Diagnostic> {
-        if self.operators() > MOST_OPERATORS {
-            return Err(Diagnostic::too_many_operators(MOST_OPERATORS));
+    pub fn check_operator_count(self) -> Result<Search, Diagnostic> {
+        if self.operator_count() > MAX_OPERATORS {
+            return Err(Diagnostic::too_many_operators(MAX_OPERATORS));
         }
         Ok(self)
     }
@@ -140,9 +140,9 @@
                     && c.structure != Structure::WordList;
                 (exact && c.access == access).then_some(c.term.as_str())
             }
-            Search::Both(Operator::And, l, r) => l.key(access).or_else(|| r.key(access)),
-            Search::Both(Operator::AndNot, l, _) => l.key(access),
-            Search::Both(Operator::Or, ..) => None,
+            Search::Binary(Operator::And, l, r) => l.key(access).or_else(|| r.key(access)),
+            Search::Binary(Operator::AndNot, l, _) => l.key(access),
+            Search::Binary(Operator::Or, ..) => None,
         }
     }
 }
