--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -4,11 +4,11 @@
 use super::ber;
 use super::cql;
 use super::diagnostic::{Diagnostic, Trouble};
-use super::job::{Job, Next, Outcome, Shape};
-use super::plan::{self, PartValue, Sought};
+use super::job::{Job, NextStep, PlannedSearch, SearchResult};
+use super::plan::{self, PartValue, SearchPayload};
 use super::search::{self, Search};
 use super::session::{self, Reply, Session};
-use super::sru::{self, Packing, Request};
+use super::sru::{self, RecordPacking, Request};
 use crate::api::Nanos;
 use crate::config::OperatorConfig;
 use crate::engine::{QueryId, QueryOutcome};
@@ -23,12 +23,12 @@
 /// Most reads of one connection at a time.
 const READS: usize = 4;
 
-type Hand<'a> = FrontendContext<'a, Sought, PartValue>;
+type Hand<'a> = FrontendContext<'a, SearchPayload, PartValue>;
 
 /// An SRU search that waits for its answer.
 struct Asked {
     version: &'static str,
-    packing: Packing,
+    packing: RecordPacking,
     start: u64,
 }
 
@@ -62,15 +62,15 @@
 }
 
 impl session::Catalogue for Told {
-    fn shape(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic> {
+    fn shape(&self, database: &str, search: Search) -> Result<(PlannedSearch, Nanos), Diagnostic> {
         let o = &self.operator;
         let found = o.database.iter().find(|d| d.name == database);
         let database = found.ok_or_else(|| Diagnostic::new(Trouble::NoSuchDatabase, database))?;
         let class = o.class.iter().position(|c| c.name == database.class).unwrap_or(0);
-        let key = self.key_access.and_then(|a| search.key(a)).map(plan::key_number);
+        let key = self.key_access.and_then(|a| search.key(a)).map(plan::key_hash);
         let partitions = plan::partitions(o.partitions.count, o.partitions.per_key, key);
         let wait = o.class[class].deadline_ms * 1_000_000;
-        Ok((Shape { search: Rc::new(search), class, key, partitions }, wait))
+        Ok((PlannedSearch { search: Rc::new(search), class, key, partitions }, wait))
     }
 
     fn most_records(&self) -> u64 {
@@ -393,7 +393,7 @@
         hands: &mut Hand,
     ) {
         let response = sru::Response { diagnostics: vec![d.clone()], ..sru::Response::default() };
-        let body = sru::write(&response, version, Packing::Xml, 1);
+        let body = sru::write(&response, version, RecordPacking::Xml, 1);
         let headers: Vec<(&str, &str)> = headers.iter().copied().chain([XML]).collect();
         self.respond(conn, status, &headers, &body, hands);
     }
@@ -426,7 +426,7 @@
     // ---- jobs ----
 
     fn start(&mut self, conn: ConnId, job: Job, hands: &mut Hand) {
-        let ask = job.ask(hands.now);
+        let ask = job.query_request(hands.now);
         match hands.engine.submit(hands.now, ask) {
             Ok(query) => {
                 self.waiting.insert(query, conn);
@@ -453,10 +453,10 @@
                 let d = Diagnostic::new(Trouble::OutOfTime, "no answer in time");
                 self.failed(conn, 504, &[], d, hands);
             }
-            QueryOutcome::Answered(answered) => match job.answered(answered) {
-                Next::Ask => self.start(conn, job, hands),
-                Next::Refused(d) => self.failed(conn, 200, &[], d, hands),
-                Next::Done(outcome) => self.done(conn, job.shape(), outcome, hands),
+            QueryOutcome::Answered(answered) => match job.on_answer(answered) {
+                NextStep::SendQuery => self.start(conn, job, hands),
+                NextStep::Refused(d) => self.failed(conn, 200, &[], d, hands),
+                NextStep::Done(outcome) => self.done(conn, job.planned_search(), outcome, hands),
             },
         }
         // What the client sent ahead is read now.
@@ -492,7 +492,7 @@
         self.answer_z3950(conn, message, hands);
     }
 
-    fn done(&mut self, conn: ConnId, shape: &Shape, outcome: Outcome, hands: &mut Hand) {
+    fn done(&mut self, conn: ConnId, shape: &PlannedSearch, outcome: SearchResult, hands: &mut Hand) {
         let message = match self.clients.get_mut(&conn).map(|c| &mut c.speech) {
             None => return,
             Some(Speech::Sru { asked, .. }) => {
@@ -596,7 +596,7 @@
 const DEFAULT_RECORDS: u64 = 10;
 const XML: (&str, &str) = ("Content-Type", "text/xml; charset=utf-8");
 
-fn respond_search(outcome: Outcome, version: &str, packing: Packing, start: u64) -> Vec<u8> {
+fn respond_search(outcome: SearchResult, version: &str, packing: RecordPacking, start: u64) -> Vec<u8> {
     let total = outcome.counts.total();
     let next = start.saturating_add(outcome.items.len() as u64);
     let mut diagnostics: Vec<Diagnostic> = outcome.counts.diagnostic().into_iter().collect();
--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -1,7 +1,7 @@
 //! The catalogue's front as a whole.
 
 use super::downstream::Clients;
-use super::plan::{PartValue, Sought};
+use super::plan::{PartValue, SearchPayload};
 use super::upstream::Nodes;
 use crate::admin;
 use crate::api::Nanos;
@@ -248,10 +248,10 @@
 }
 
 impl Frontend for CatalogueFrontend {
-    type Query = Sought;
+    type Query = SearchPayload;
     type Value = PartValue;
 
-    fn on_event(&mut self, event: NetEvent, hands: &mut FrontendContext<Sought, PartValue>) {
+    fn on_event(&mut self, event: NetEvent, hands: &mut FrontendContext<SearchPayload, PartValue>) {
         match event.owner() {
             Some(NODES) => self.nodes.event(event, hands),
             Some(ROSTER) => self.membership.on_event(event, hands.now, hands.net),
@@ -260,7 +260,7 @@
         }
     }
 
-    fn tick(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
+    fn tick(&mut self, hands: &mut FrontendContext<SearchPayload, PartValue>) {
         if let Some(file) = self.files.take(hands.now) {
             let (facts, rules) = (self.files.facts(&file), self.files.rules(&file));
             self.membership.set_operator_nodes(facts, rules, hands.now);
@@ -272,8 +272,8 @@
 
     fn perform(
         &mut self,
-        work: EngineAction<Sought, PartValue>,
-        hands: &mut FrontendContext<Sought, PartValue>,
+        work: EngineAction<SearchPayload, PartValue>,
+        hands: &mut FrontendContext<SearchPayload, PartValue>,
     ) {
         match work {
             EngineAction::Call { replica, parts } => self.nodes.call(replica, parts, hands),
@@ -302,11 +302,11 @@
     }
 
     /// The file of nodes alone may change while the broker serves; all else holds from the start to the end.
-    fn reload(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
+    fn reload(&mut self, hands: &mut FrontendContext<SearchPayload, PartValue>) {
         self.files.reload(hands.now);
     }
 
-    fn close_idle(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
+    fn close_idle(&mut self, hands: &mut FrontendContext<SearchPayload, PartValue>) {
         self.clients.close_idle(hands);
         if self.clients.is_empty() {
             self.nodes.farewell(hands.net);
--- a/src/frontends/catalogue/job.rs
+++ b/src/frontends/catalogue/job.rs
@@ -1,7 +1,7 @@
 //! One request of a client's that is being worked on: which query is out for it, and what comes next.
 
 use super::diagnostic::Diagnostic;
-use super::plan::{self, Counts, PartValue, Run, Sought};
+use super::plan::{self, HitCounts, PartValue, RecordRange, SearchPayload};
 use super::search::Search;
 use super::sru::Item;
 use crate::api::Nanos;
@@ -10,7 +10,7 @@
 
 /// A search as it is put to the nodes, again and again if need be.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct PlannedSearch {
     /// The search.
     pub search: Rc<Search>,
     /// Its class.
@@ -23,20 +23,20 @@
 
 /// What a job came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct SearchResult {
     /// Hits in each partition.
-    pub counts: Counts,
+    pub counts: HitCounts,
     /// The records that were asked for.
     pub items: Vec<Item>,
 }
 
 /// What is to be done after an answer.
 #[derive(Debug)]
-pub enum Next {
+pub enum NextStep {
     /// There is a further query to be put to the exchange.
-    Ask,
+    SendQuery,
     /// The job is done.
-    Done(Outcome),
+    Done(SearchResult),
     /// No replica can answer this search.
     Refused(Diagnostic),
 }
@@ -46,67 +46,67 @@
     /// Each partition tells its hits and, where the first records are wanted, brings them.
     Count { start: u64, count: u64 },
     /// The records are fetched from where they lie.
-    Fetch { counts: Counts },
+    Fetch { counts: HitCounts },
 }
 
 /// A job.
 #[derive(Debug)]
 pub struct Job {
-    shape: Shape,
+    shape: PlannedSearch,
     step: Step,
-    runs: Vec<Run>,
+    ranges: Vec<RecordRange>,
     /// When the client gives up.
     pub end: Nanos,
 }
 
 impl Job {
     /// A search whose records from `start` on are wanted, `count` of them at most.
-    pub fn search(shape: Shape, start: u64, count: u64, end: Nanos) -> Job {
+    pub fn search(shape: PlannedSearch, start: u64, count: u64, end: Nanos) -> Job {
         // Where the wanted records lie is not known before all have told their hits, unless they are the first.
         let first = if start == 1 { count } else { 0 };
-        let run = |partition: &u32| Run { partition: *partition, start: 1, count: first };
-        let runs = shape.partitions.iter().map(run).collect();
-        Job { shape, step: Step::Count { start, count }, runs, end }
+        let run = |partition: &u32| RecordRange { partition: *partition, start: 1, count: first };
+        let ranges = shape.partitions.iter().map(run).collect();
+        Job { shape, step: Step::Count { start, count }, ranges, end }
     }
 
     /// Records of a search whose hits are known.
-    pub fn fetch(shape: Shape, counts: Counts, start: u64, count: u64, end: Nanos) -> Job {
-        let runs = counts.locate(start, count);
-        Job { shape, step: Step::Fetch { counts }, runs, end }
+    pub fn fetch(shape: PlannedSearch, counts: HitCounts, start: u64, count: u64, end: Nanos) -> Job {
+        let ranges = counts.locate(start, count);
+        Job { shape, step: Step::Fetch { counts }, ranges, end }
     }
 
     /// The search behind it.
-    pub fn shape(&self) -> &Shape {
+    pub fn planned_search(&self) -> &PlannedSearch {
         &self.shape
     }
 
     /// The query that is to be put to the exchange now.
-    pub fn ask(&self, now: Nanos) -> QueryRequest<Sought> {
+    pub fn query_request(&self, now: Nanos) -> QueryRequest<SearchPayload> {
         let left = self.end.saturating_sub(now);
-        plan::ask(&self.shape.search, self.runs.clone(), self.shape.class, self.shape.key, left)
+        plan::query_request(&self.shape.search, self.ranges.clone(), self.shape.class, self.shape.key, left)
     }
 
     /// Takes in the answer to that query.
-    pub fn answered(&mut self, answered: Answer<PartValue>) -> Next {
-        let (counts, items) = match plan::merge(&self.runs, answered) {
+    pub fn on_answer(&mut self, answered: Answer<PartValue>) -> NextStep {
+        let (counts, items) = match plan::merge(&self.ranges, answered) {
             Ok(merged) => merged,
-            Err(d) => return Next::Refused(d),
+            Err(d) => return NextStep::Refused(d),
         };
         match &self.step {
             Step::Count { start, count } => {
                 let (start, count) = (*start, *count);
-                let runs = counts.locate(start, count);
-                if start == 1 || runs.is_empty() {
-                    let items = plan::fill(&runs, items);
-                    return Next::Done(Outcome { counts, items });
+                let ranges = counts.locate(start, count);
+                if start == 1 || ranges.is_empty() {
+                    let items = plan::fill_gaps(&ranges, items);
+                    return NextStep::Done(SearchResult { counts, items });
                 }
-                self.runs = runs;
+                self.ranges = ranges;
                 self.step = Step::Fetch { counts };
-                Next::Ask
+                NextStep::SendQuery
             }
             Step::Fetch { counts } => {
-                let items = plan::fill(&self.runs, items);
-                Next::Done(Outcome { counts: counts.clone(), items })
+                let items = plan::fill_gaps(&self.ranges, items);
+                NextStep::Done(SearchResult { counts: counts.clone(), items })
             }
         }
     }
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -4,7 +4,7 @@
 use super::ber;
 use super::diagnostic::{Diagnostic, Trouble};
 use super::marc::Record;
-use super::plan::{Found, PartValue};
+use super::plan::{PartValue, PartitionResult};
 use super::search::Search;
 use super::sru::{self, Item};
 use super::{cql, rpn};
@@ -60,7 +60,7 @@
 
     fn found(&mut self) -> Step {
         let items = std::mem::take(&mut self.items);
-        Step::Done(Ok(Ok(Found { total: self.total.unwrap_or(0), items })))
+        Step::Done(Ok(Ok(PartitionResult { total: self.total.unwrap_or(0), items })))
     }
 }
 
--- a/src/frontends/catalogue/plan.rs
+++ b/src/frontends/catalogue/plan.rs
@@ -10,7 +10,7 @@
 
 /// A run of records of one partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct RecordRange {
     /// The partition.
     pub partition: u32,
     /// Its first record, from 1.
@@ -22,16 +22,16 @@
 /// What a query carries: the search, and the run of records that each part is to bring. Any replica can
 /// serve such a part, since it leans on nothing that was asked before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sought {
+pub struct SearchPayload {
     /// The search.
     pub search: Rc<Search>,
     /// A run for each part.
-    pub runs: Vec<Run>,
+    pub ranges: Vec<RecordRange>,
 }
 
 /// What one partition gave.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct PartitionResult {
     /// Its hits.
     pub total: u64,
     /// The run that was asked for, or as much of it as there is.
@@ -39,16 +39,16 @@
 }
 
 /// The value of a part: what was found, or why this search can't be answered by any replica.
-pub type PartValue = Result<Found, Diagnostic>;
+pub type PartValue = Result<PartitionResult, Diagnostic>;
 
 /// The records that each partition brought.
-pub type Brought = Vec<(u32, Vec<Item>)>;
+pub type PartitionItems = Vec<(u32, Vec<Item>)>;
 
 /// How many hits each partition has; none where a partition did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Counts(pub Vec<(u32, Option<u64>)>);
+pub struct HitCounts(pub Vec<(u32, Option<u64>)>);
 
-impl Counts {
+impl HitCounts {
     /// All hits that are known.
     pub fn total(&self) -> u64 {
         self.0.iter().filter_map(|(_, n)| *n).fold(0, u64::saturating_add)
@@ -60,14 +60,14 @@
     }
 
     /// Where the records from position `start` on lie, `count` of them at most.
-    pub fn locate(&self, start: u64, count: u64) -> Vec<Run> {
+    pub fn locate(&self, start: u64, count: u64) -> Vec<RecordRange> {
         let (mut before, mut left, mut out) = (0u64, count, Vec::new());
         for (partition, n) in &self.0 {
             let n = n.unwrap_or(0);
             let first = start.max(before + 1) - before;
             if left > 0 && first <= n {
                 let count = left.min(n - first + 1);
-                out.push(Run { partition: *partition, start: first, count });
+                out.push(RecordRange { partition: *partition, start: first, count });
                 left -= count;
             }
             before = before.saturating_add(n);
@@ -97,44 +97,47 @@
 }
 
 /// A composition key as a number: FNV-1a with 64 bits over its bytes, without blanks at the ends.
-pub fn key_number(key: &str) -> u64 {
+pub fn key_hash(key: &str) -> u64 {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     key.trim().bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// The query for some runs.
-pub fn ask(
+/// The query for some ranges.
+pub fn query_request(
     search: &Rc<Search>,
-    runs: Vec<Run>,
+    ranges: Vec<RecordRange>,
     class: usize,
     key: Option<u64>,
     time_left: Nanos,
-) -> QueryRequest<Sought> {
-    let weight = 1.0 / runs.len().max(1) as f64;
-    let parts = runs.iter().map(|r| PartRequest { shard: r.partition, weight, work: None }).collect();
-    let payload = Rc::new(Sought { search: search.clone(), runs });
+) -> QueryRequest<SearchPayload> {
+    let weight = 1.0 / ranges.len().max(1) as f64;
+    let parts = ranges.iter().map(|r| PartRequest { shard: r.partition, weight, work: None }).collect();
+    let payload = Rc::new(SearchPayload { search: search.clone(), ranges });
     QueryRequest { class, tenant: None, key, time_left, is_retry: false, parts, payload }
 }
 
 /// Takes an answer apart: the counts of all partitions asked, and what each brought, in partition order.
 /// A partition that can't answer the search speaks for all.
-pub fn merge(asked: &[Run], answered: Answer<PartValue>) -> Result<(Counts, Brought), Diagnostic> {
+pub fn merge(
+    asked: &[RecordRange],
+    answered: Answer<PartValue>,
+) -> Result<(HitCounts, PartitionItems), Diagnostic> {
     let mut found = Vec::with_capacity(answered.values.len());
     for v in answered.values {
         found.push((v.shard, v.value?));
     }
     let total = |p: u32| found.iter().find(|(s, _)| *s == p).map(|(_, f)| f.total);
-    let counts = Counts(asked.iter().map(|r| (r.partition, total(r.partition))).collect());
-    let mut items: Brought = found.into_iter().map(|(s, f)| (s, f.items)).collect();
+    let counts = HitCounts(asked.iter().map(|r| (r.partition, total(r.partition))).collect());
+    let mut items: PartitionItems = found.into_iter().map(|(s, f)| (s, f.items)).collect();
     items.sort_by_key(|(s, _)| asked.iter().position(|r| r.partition == *s));
     Ok((counts, items))
 }
 
-/// The records of some runs, in order. What a partition did not bring stays open by a diagnostic in its
+/// The records of some ranges, in order. What a partition did not bring stays open by a diagnostic in its
 /// place, so that each record keeps its position.
-pub fn fill(runs: &[Run], mut items: Brought) -> Vec<Item> {
+pub fn fill_gaps(ranges: &[RecordRange], mut items: PartitionItems) -> Vec<Item> {
     let mut out = Vec::new();
-    for run in runs {
+    for run in ranges {
         let there = items.iter_mut().find(|(p, _)| *p == run.partition);
         let mut there = there.map(|(_, i)| std::mem::take(i)).unwrap_or_default();
         there.truncate(run.count as usize);
--- a/src/frontends/catalogue/session.rs
+++ b/src/frontends/catalogue/session.rs
@@ -2,9 +2,9 @@
 
 use super::apdu::*;
 use super::diagnostic::{Diagnostic, Trouble};
-use super::job::{Job, Outcome, Shape};
+use super::job::{Job, PlannedSearch, SearchResult};
 use super::marc::Record;
-use super::plan::Counts;
+use super::plan::HitCounts;
 use super::search::Search;
 use super::sru::Item;
 use super::{cql, rpn};
@@ -21,7 +21,7 @@
 /// What a session is told about the catalogue.
 pub trait Catalogue {
     /// How a search in a database is put to the nodes, and how long its clients wait.
-    fn shape(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic>;
+    fn shape(&self, database: &str, search: Search) -> Result<(PlannedSearch, Nanos), Diagnostic>;
     /// Most records in one answer.
     fn most_records(&self) -> u64;
     /// Most result sets.
@@ -30,8 +30,8 @@
 
 #[derive(Clone, Debug)]
 struct ResultSet {
-    shape: Shape,
-    counts: Counts,
+    shape: PlannedSearch,
+    counts: HitCounts,
     wait: Nanos,
 }
 
@@ -154,7 +154,7 @@
         &self,
         r: &SearchRequest,
         catalogue: &impl Catalogue,
-    ) -> Result<(Shape, Nanos, Syntax), Diagnostic> {
+    ) -> Result<(PlannedSearch, Nanos, Syntax), Diagnostic> {
         let fail = |trouble, details: &str| Err(Diagnostic::new(trouble, details));
         let [database] = &r.databases[..] else {
             return fail(Trouble::TooManyDatabases, &r.databases.len().to_string());
@@ -208,7 +208,7 @@
     }
 
     /// The answer to the request whose job is done.
-    pub fn done(&mut self, shape: &Shape, outcome: Outcome) -> Option<Vec<u8>> {
+    pub fn done(&mut self, shape: &PlannedSearch, outcome: SearchResult) -> Option<Vec<u8>> {
         match self.pending.take()? {
             Pending::Search { request: r, syntax, wait } => {
                 let (total, partial) = (outcome.counts.total(), outcome.counts.diagnostic());
--- a/src/frontends/catalogue/sru.rs
+++ b/src/frontends/catalogue/sru.rs
@@ -15,7 +15,7 @@
 
 /// How records are packed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Packing {
+pub enum RecordPacking {
     /// As part of the response's XML.
     Xml,
     /// As text.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// What this server can do.
-    Explain { version: &'static str, packing: Packing },
+    Explain { version: &'static str, packing: RecordPacking },
     /// A search.
     Search(SearchRetrieve),
 }
@@ -43,7 +43,7 @@
     /// Most records; none: as many as the server likes.
     pub maximum: Option<u64>,
     /// How records are packed.
-    pub packing: Packing,
+    pub packing: RecordPacking,
 }
 
 /// The request's parameters, from the target and the body of a form.
@@ -90,7 +90,7 @@
     let get = |name: &str| parameters.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
     // The address alone asks what there is.
     if get("operation").is_none() && get("query").is_none() && get("version").is_none() {
-        return Ok(Request::Explain { version: "1.2", packing: Packing::Xml });
+        return Ok(Request::Explain { version: "1.2", packing: RecordPacking::Xml });
     }
     let fail = |trouble, details: &str, version| Err((Diagnostic::new(trouble, details), version));
     let version = match get("version") {
@@ -100,8 +100,8 @@
         None => return fail(Trouble::MissingParameter, "version", "1.2"),
     };
     let packing = match get("recordPacking") {
-        None | Some("xml") => Packing::Xml,
-        Some("string") => Packing::String,
+        None | Some("xml") => RecordPacking::Xml,
+        Some("string") => RecordPacking::String,
         Some(other) => return fail(Trouble::UnsupportedPacking, other, version),
     };
     match get("operation") {
@@ -169,10 +169,10 @@
     )
 }
 
-fn write_record(schema: &str, packing: Packing, data: &str, position: u64) -> String {
+fn write_record(schema: &str, packing: RecordPacking, data: &str, position: u64) -> String {
     let (word, data) = match packing {
-        Packing::Xml => ("xml", data.to_owned()),
-        Packing::String => ("string", escape(data)),
+        RecordPacking::Xml => ("xml", data.to_owned()),
+        RecordPacking::String => ("string", escape(data)),
     };
     format!(
         "<record><recordSchema>{schema}</recordSchema><recordPacking>{word}</recordPacking>\
@@ -181,7 +181,7 @@
 }
 
 /// Writes a response whose first record is number `start`.
-pub fn write(r: &Response, version: &str, packing: Packing, start: u64) -> Vec<u8> {
+pub fn write(r: &Response, version: &str, packing: RecordPacking, start: u64) -> Vec<u8> {
     let mut out = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<searchRetrieveResponse xmlns=\"{NAMESPACE}\">\
          <version>{version}</version><numberOfRecords>{}</numberOfRecords>",
@@ -213,7 +213,14 @@
 }
 
 /// Writes what this server can do, for the database at `host` and `port`.
-pub fn explain(version: &str, packing: Packing, host: &str, port: u16, database: &str, most: u64) -> Vec<u8> {
+pub fn explain(
+    version: &str,
+    packing: RecordPacking,
+    host: &str,
+    port: u16,
+    database: &str,
+    most: u64,
+) -> Vec<u8> {
     let mut info = format!(
         "<explain xmlns=\"http://explain.z3950.org/dtd/2.0/\"><serverInfo protocol=\"SRU\" version=\"1.2\" \
          transport=\"http\" method=\"GET POST\"><host>{}</host><port>{port}</port><database>{}</database>\
@@ -249,7 +256,7 @@
     let xml = std::str::from_utf8(body).map_err(|_| "not in UTF-8")?;
     let mut reader = Reader::from_str(xml);
     let (mut out, mut total) = (Response::default(), None);
-    let (mut packing, mut schema) = (Packing::Xml, String::new());
+    let (mut packing, mut schema) = (RecordPacking::Xml, String::new());
     let mut root = false;
     loop {
         let event = reader.read_event().map_err(|_| "broken XML")?;
@@ -267,17 +274,20 @@
                 total = Some(text(&mut reader, &e)?.trim().parse().map_err(|_| "a count that is no number")?);
             }
             "nextRecordPosition" => out.next = text(&mut reader, &e)?.trim().parse().ok(),
-            "record" => (packing, schema) = (Packing::Xml, String::new()),
+            "record" => (packing, schema) = (RecordPacking::Xml, String::new()),
             "recordSchema" => schema = text(&mut reader, &e)?,
             "recordPacking" => {
-                packing =
-                    if text(&mut reader, &e)?.trim() == "string" { Packing::String } else { Packing::Xml };
+                packing = if text(&mut reader, &e)?.trim() == "string" {
+                    RecordPacking::String
+                } else {
+                    RecordPacking::Xml
+                };
             }
             "recordData" => {
                 let raw = reader.read_text(e.name()).map_err(|_| "broken XML")?;
                 let data = match packing {
-                    Packing::Xml => raw.to_string(),
-                    Packing::String => unescape(&raw).ok_or("an unknown entity")?,
+                    RecordPacking::Xml => raw.to_string(),
+                    RecordPacking::String => unescape(&raw).ok_or("an unknown entity")?,
                 };
                 out.items.push(if schema.trim() == DIAGNOSTIC_SCHEMA {
                     Item::Diagnostic(read_diagnostic(&data)?)
--- a/src/frontends/catalogue/upstream.rs
+++ b/src/frontends/catalogue/upstream.rs
@@ -2,7 +2,7 @@
 //! on a connection.
 
 use super::node_session::{Step, Talk, Task};
-use super::plan::{PartValue, Sought};
+use super::plan::{PartValue, SearchPayload};
 use crate::api::{Nanos, Outcome, ReplicaId};
 use crate::config::{Limits, Protocol};
 use crate::engine::{AttemptId, AttemptOutcome, AttemptRequest};
@@ -15,7 +15,7 @@
 /// How long the answer to a given-up search is awaited before its connection is closed.
 const ABANDONED: Nanos = 2_000_000_000;
 
-type Catalogue<'a> = FrontendContext<'a, Sought, PartValue>;
+type Catalogue<'a> = FrontendContext<'a, SearchPayload, PartValue>;
 
 /// A part that waits for a free connection.
 struct Waiting {
@@ -107,9 +107,14 @@
     }
 
     /// Sends the parts of one call.
-    pub fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptRequest<Sought>>, hands: &mut Catalogue) {
+    pub fn call(
+        &mut self,
+        replica: ReplicaId,
+        parts: Vec<AttemptRequest<SearchPayload>>,
+        hands: &mut Catalogue,
+    ) {
         for p in parts {
-            let Some(run) = p.payload.runs.iter().find(|r| r.partition == p.shard) else { continue };
+            let Some(run) = p.payload.ranges.iter().find(|r| r.partition == p.shard) else { continue };
             let database = self.database.replace("{partition}", &p.shard.to_string());
             let task = Task::new(p.payload.search.clone(), database, run.start, run.count, self.limits.page);
             match self.places.get_mut(&replica) {
--- a/tests/fronts/protocols.rs
+++ b/tests/fronts/protocols.rs
@@ -194,7 +194,7 @@
     for wire in [Wire::Sru, Wire::Z3950] {
         let s = serve(wire, Wire::Sru, 100);
         let key = Clause::new(5030, "k-17");
-        let partition = plan::partitions(PARTITIONS, 1, Some(plan::key_number("k-17")))[0];
+        let partition = plan::partitions(PARTITIONS, 1, Some(plan::key_hash("k-17")))[0];
         // Were another partition asked, there would be no whole answer.
         let others: Vec<u32> = (0..PARTITIONS).filter(|p| *p != partition).collect();
         s.script.set(&[0, 1, 2], &others, Act::Fail);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -350,12 +350,12 @@
 
 #[test]
 fn sru_responses_survive_in_both_packings() {
-    use sru::{Item, Packing, Response};
+    use sru::{Item, RecordPacking, Response};
     let d = Diagnostic::new(Trouble::PartialResult, "2 of 3 <parts>");
     let items =
         vec![Item::Record(record()), Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, "x"))];
     let r = Response { total: 12, items, next: Some(3), diagnostics: vec![d] };
-    for packing in [Packing::Xml, Packing::String] {
+    for packing in [RecordPacking::Xml, RecordPacking::String] {
         let bytes = sru::write(&r, "1.1", packing, 1);
         assert_eq!(sru::read_response(&bytes).as_ref(), Ok(&r));
         for cut in 0..bytes.len() {
