--- a/src/frontends/catalogue/cql.rs
+++ b/src/frontends/catalogue/cql.rs
@@ -1,16 +1,16 @@
-//! CQL 1.1 and 1.2: read into a search, and written from one.
+//! CQL 1.1 and 1.2: parses queries into searches and writes searches as queries.
 
 use super::diagnostic::{Diagnostic, Trouble};
 use super::search::*;
 
-/// Deepest parentheses. Guards the stack.
-const DEEPEST: usize = 32;
-/// Longest query that is read.
-const LONGEST: usize = 8 * 1024;
+/// Maximum nesting of parentheses. Bounds the recursion depth of the parser.
+const MAX_NESTING: usize = 32;
+/// Maximum length of a query in bytes.
+const MAX_QUERY_BYTES: usize = 8 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Token {
-    /// A word or a quoted string, as written between the quotes.
+    /// A word, or the content of a quoted string with its escapes.
     Text {
         raw: String,
         quoted: bool,
@@ -24,7 +24,7 @@
     Diagnostic::new(Trouble::QuerySyntax, what)
 }
 
-fn tokens(query: &str) -> Result<Vec<Token>, Diagnostic> {
+fn tokenize(query: &str) -> Result<Vec<Token>, Diagnostic> {
     let mut out = Vec::new();
     let mut rest = query;
     loop {
@@ -51,12 +51,12 @@
     }
 }
 
-/// Reads a query.
+/// Parses a query.
 pub fn parse(query: &str) -> Result<Search, Diagnostic> {
-    if query.len() > LONGEST {
+    if query.len() > MAX_QUERY_BYTES {
         return Err(syntax("the query is too long"));
     }
-    let mut p = Parser { tokens: tokens(query)?, at: 0, operators: 0, prefixes: Vec::new() };
+    let mut p = Parser { tokens: tokenize(query)?, position: 0, operators: 0, prefixes: Vec::new() };
     let search = p.query(0)?;
     match p.peek() {
         None => search.check_operator_count(),
@@ -69,29 +69,29 @@
 
 struct Parser {
     tokens: Vec<Token>,
-    at: usize,
+    position: usize,
     operators: usize,
-    /// Prefixes that the query gave to context sets of ours.
+    /// Prefixes that the query assigns to known context sets.
     prefixes: Vec<(String, &'static str)>,
 }
 
 impl Parser {
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.at)
+        self.tokens.get(self.position)
     }
 
     fn take(&mut self) -> Option<Token> {
-        self.at += 1;
-        self.tokens.get(self.at - 1).cloned()
+        self.position += 1;
+        self.tokens.get(self.position - 1).cloned()
     }
 
-    fn symbol(&mut self, symbol: &str) -> bool {
-        let there = matches!(self.peek(), Some(Token::Symbol(s)) if *s == symbol);
-        self.at += usize::from(there);
-        there
+    fn accept_symbol(&mut self, symbol: &str) -> bool {
+        let matched = matches!(self.peek(), Some(Token::Symbol(s)) if *s == symbol);
+        self.position += usize::from(matched);
+        matched
     }
 
-    fn text(&mut self) -> Result<(String, bool), Diagnostic> {
+    fn expect_text(&mut self) -> Result<(String, bool), Diagnostic> {
         match self.take() {
             Some(Token::Text { raw, quoted }) => Ok((raw, quoted)),
             _ => Err(syntax("a word is missing")),
@@ -99,11 +99,11 @@
     }
 
     fn query(&mut self, depth: usize) -> Result<Search, Diagnostic> {
-        if depth > DEEPEST {
+        if depth > MAX_NESTING {
             return Err(syntax("parentheses nested too deep"));
         }
-        while self.symbol(">") {
-            self.prefix()?;
+        while self.accept_symbol(">") {
+            self.prefix_assignment()?;
         }
         let mut left = self.clause(depth)?;
         while let Some(operator) = self.operator()? {
@@ -116,9 +116,10 @@
         Ok(left)
     }
 
-    fn prefix(&mut self) -> Result<(), Diagnostic> {
-        let (first, _) = self.text()?;
-        let (name, uri) = if self.symbol("=") { (first, self.text()?.0) } else { (String::new(), first) };
+    fn prefix_assignment(&mut self) -> Result<(), Diagnostic> {
+        let (first, _) = self.expect_text()?;
+        let (name, uri) =
+            if self.accept_symbol("=") { (first, self.expect_text()?.0) } else { (String::new(), first) };
         let set = CONTEXT_SETS.iter().find(|(_, known)| *known == uri);
         let (set, _) = set.ok_or_else(|| Diagnostic::new(Trouble::UnsupportedContextSet, uri.as_str()))?;
         self.prefixes.push((name.to_ascii_lowercase(), set));
@@ -135,20 +136,24 @@
             "sortby" => return Ok(None),
             other => return Err(Diagnostic::new(Trouble::UnsupportedOperator, other)),
         };
-        self.at += 1;
-        if self.symbol("/") {
-            let modifier = self.text().map(|t| t.0).unwrap_or_default();
+        self.position += 1;
+        if self.accept_symbol("/") {
+            let modifier = self.expect_text().map(|t| t.0).unwrap_or_default();
             return Err(Diagnostic::new(Trouble::OperatorModifier, modifier));
         }
         Ok(Some(operator))
     }
 
     fn clause(&mut self, depth: usize) -> Result<Search, Diagnostic> {
-        if self.symbol("(") {
+        if self.accept_symbol("(") {
             let inner = self.query(depth + 1)?;
-            return if self.symbol(")") { Ok(inner) } else { Err(syntax("a parenthesis is not closed")) };
+            return if self.accept_symbol(")") {
+                Ok(inner)
+            } else {
+                Err(syntax("a parenthesis is not closed"))
+            };
         }
-        let (first, quoted) = self.text()?;
+        let (first, quoted) = self.expect_text()?;
         let reserved =
             |w: &str| ["and", "or", "not", "prox", "sortby"].contains(&w.to_ascii_lowercase().as_str());
         let relation = match self.peek() {
@@ -162,19 +167,19 @@
             if !quoted && reserved(&first) {
                 return Err(syntax("an operator without its term"));
             }
-            return words(1016, "=", &first);
+            return apply_relation(1016, "=", &first);
         };
-        self.at += 1;
-        if self.symbol("/") {
-            let modifier = self.text().map(|t| t.0).unwrap_or_default();
+        self.position += 1;
+        if self.accept_symbol("/") {
+            let modifier = self.expect_text().map(|t| t.0).unwrap_or_default();
             return Err(Diagnostic::new(Trouble::UnsupportedRelationModifier, modifier));
         }
-        let (term, _) = self.text()?;
-        let access = self.access(&first)?;
-        words(access, relation.strip_prefix("cql.").unwrap_or(&relation), &term)
+        let (term, _) = self.expect_text()?;
+        let access = self.access_point(&first)?;
+        apply_relation(access, relation.strip_prefix("cql.").unwrap_or(&relation), &term)
     }
 
-    fn access(&self, index: &str) -> Result<u16, Diagnostic> {
+    fn access_point(&self, index: &str) -> Result<u16, Diagnostic> {
         let unknown = || Diagnostic::new(Trouble::UnsupportedIndex, index);
         let (prefix, name) = index.split_once('.').unwrap_or(("", index));
         let prefix = prefix.to_ascii_lowercase();
@@ -187,14 +192,14 @@
             }
             return access_of(index).ok_or_else(unknown);
         }
-        // A bare name is looked for in every set.
+        // An index without a prefix is looked up in every set.
         let mut sets = ["dc", "cql", "rec", "bath", "music"].iter();
         sets.find_map(|set| access_of(&format!("{set}.{name}"))).ok_or_else(unknown)
     }
 }
 
-/// One clause, or with `any` one for each word.
-fn words(access: u16, relation: &str, raw: &str) -> Result<Search, Diagnostic> {
+/// Builds one clause; for `any`, one clause per word, joined by `or`.
+fn apply_relation(access: u16, relation: &str, raw: &str) -> Result<Search, Diagnostic> {
     let mut clause = term(access, raw)?;
     match relation {
         "=" | "scr" => {}
@@ -220,15 +225,15 @@
     Ok(Search::Clause(clause))
 }
 
-/// Reads a term: what is escaped, what is masked, and where it is anchored.
+/// Parses a term: escapes, truncation by `*` at either end, and the anchor `^` at its start.
 fn term(access: u16, raw: &str) -> Result<Clause, Diagnostic> {
     let mut chars: Vec<(char, bool)> = Vec::new();
     let mut escaped = false;
     for c in raw.chars() {
         match (c, escaped) {
             ('\\', false) => escaped = true,
-            (c, was) => {
-                chars.push((c, was));
+            (c, was_escaped) => {
+                chars.push((c, was_escaped));
                 escaped = false;
             }
         }
@@ -259,7 +264,7 @@
     Ok(Clause { truncation, first_in_field, ..Clause::new(access, text) })
 }
 
-/// Writes a search, in a form that versions 1.1 and 1.2 both read.
+/// Writes a search in the syntax that versions 1.1 and 1.2 share.
 pub fn write(search: &Search) -> Result<String, Diagnostic> {
     match search {
         Search::Clause(c) => write_clause(c),
--- a/src/frontends/catalogue/search.rs
+++ b/src/frontends/catalogue/search.rs
@@ -1,26 +1,26 @@
-//! A search as both languages of the catalogue's fronts mean it: Bib-1 attributes on terms, and operators.
+//! The search tree that CQL and RPN queries are parsed into: terms with Bib-1 attributes, and operators.
 
 use super::diagnostic::Diagnostic;
 pub use crate::config::index::{CONTEXT_SETS, access_of, index_of, indexes};
 
-/// Most operators in one search. Guards the stack and the nodes.
+/// Maximum number of operators in one search. Bounds the recursion depth and the load on nodes.
 pub const MAX_OPERATORS: usize = 64;
 
 /// An operator between two searches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operator {
-    /// Both.
+    /// Hits of both searches.
     And,
-    /// Either.
+    /// Hits of either search.
     Or,
-    /// The first and not the second.
+    /// Hits of the first search that are not hits of the second.
     AndNot,
 }
 
 /// A term with its attributes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Clause {
-    /// Use attribute: what is searched.
+    /// Use attribute: the access point that is searched.
     pub access: u16,
     /// Relation attribute.
     pub relation: Relation,
@@ -36,7 +36,7 @@
     pub term: String,
 }
 
-/// How a field's value is held against the term.
+/// How a field's value is compared with the term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Relation {
     /// Less than.
@@ -53,31 +53,31 @@
     NotEqual,
 }
 
-/// How the term is to be read.
+/// How the term is interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Structure {
-    /// Words next to each other.
+    /// Adjacent words.
     Phrase,
     /// One word.
     Word,
-    /// All of these words, wherever they stand.
+    /// All of these words, in any place and order.
     WordList,
 }
 
-/// Where the term was cut.
+/// Where the term is truncated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Truncation {
-    /// Nowhere.
+    /// Not truncated.
     None,
     /// Anything may follow.
     Right,
     /// Anything may come before.
     Left,
-    /// Both.
+    /// Anything may come before and follow.
     Both,
 }
 
-/// A search.
+/// A search, as a tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Search {
     /// One term.
@@ -87,7 +87,7 @@
 }
 
 impl Clause {
-    /// A clause as plain as it gets: words anywhere.
+    /// A clause with default attributes: equality, no truncation, any position in the field.
     pub fn new(access: u16, term: impl Into<String>) -> Clause {
         let term = term.into();
         Clause {
@@ -103,19 +103,19 @@
 }
 
 impl Structure {
-    /// What a term reads as where nothing is said: a word, or a phrase if there are more.
+    /// The structure of a term without a structure attribute: a word, or a phrase if it has several words.
     pub fn default_for(term: &str) -> Structure {
         if term.split_whitespace().nth(1).is_some() { Structure::Phrase } else { Structure::Word }
     }
 }
 
 impl Search {
-    /// Two searches joined.
+    /// Joins two searches with an operator.
     pub fn join(operator: Operator, left: Search, right: Search) -> Search {
         Search::Binary(operator, Box::new(left), Box::new(right))
     }
 
-    /// Operators in it.
+    /// The number of operators in the search.
     pub fn operator_count(&self) -> usize {
         match self {
             Search::Clause(_) => 0,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Refuses what is too long to be worked on.
+    /// Rejects a search with more than `MAX_OPERATORS` operators.
     pub fn check_operator_count(self) -> Result<Search, Diagnostic> {
         if self.operator_count() > MAX_OPERATORS {
             return Err(Diagnostic::too_many_operators(MAX_OPERATORS));
@@ -131,7 +131,8 @@
         Ok(self)
     }
 
-    /// The key that every hit must have: an exact term on the key's access point, joined only by `and`.
+    /// The key that every hit must have: an exact term on the key's access point that is required by
+    /// every operator above it (either side of `and`, the left side of `not`).
     pub fn key(&self, access: u16) -> Option<&str> {
         match self {
             Search::Clause(c) => {
