--- a/src/frontends/catalogue/job.rs
+++ b/src/frontends/catalogue/job.rs
@@ -1,4 +1,4 @@
-//! One request of a client's that is being worked on: which query is out for it, and what comes next.
+//! A client request in progress: the query that is sent for it, and the step that follows the answer.
 
 use super::diagnostic::Diagnostic;
 use super::plan::{self, HitCounts, PartValue, RecordRange, SearchPayload};
@@ -8,7 +8,7 @@
 use crate::engine::{Answer, QueryRequest};
 use std::rc::Rc;
 
-/// A search as it is put to the nodes, again and again if need be.
+/// A search with its class, its composition key and the partitions that it covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedSearch {
     /// The search.
@@ -17,23 +17,23 @@
     pub class: usize,
     /// Its composition key.
     pub key: Option<u64>,
-    /// The partitions it is put to.
+    /// The partitions it is sent to.
     pub partitions: Vec<u32>,
 }
 
-/// What a job came to.
+/// The result of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchResult {
-    /// Hits in each partition.
+    /// The number of hits in each partition.
     pub counts: HitCounts,
-    /// The records that were asked for.
+    /// The requested records.
     pub items: Vec<Item>,
 }
 
-/// What is to be done after an answer.
+/// The step that follows an answer.
 #[derive(Debug)]
 pub enum NextStep {
-    /// There is a further query to be put to the exchange.
+    /// A further query is submitted to the engine.
     SendQuery,
     /// The job is done.
     Done(SearchResult),
@@ -43,52 +43,64 @@
 
 #[derive(Debug)]
 enum Step {
-    /// Each partition tells its hits and, where the first records are wanted, brings them.
+    /// Each partition returns its number of hits and, if `start` is 1, its first `count` records.
     Count { start: u64, count: u64 },
-    /// The records are fetched from where they lie.
+    /// The records are fetched from the partitions that hold them.
     Fetch { counts: HitCounts },
 }
 
-/// A job.
+/// A client request that takes one or two queries.
 #[derive(Debug)]
 pub struct Job {
-    shape: PlannedSearch,
+    planned_search: PlannedSearch,
     step: Step,
     ranges: Vec<RecordRange>,
-    /// When the client gives up.
-    pub end: Nanos,
+    /// When the client stops waiting.
+    pub deadline: Nanos,
 }
 
 impl Job {
-    /// A search whose records from `start` on are wanted, `count` of them at most.
-    pub fn search(shape: PlannedSearch, start: u64, count: u64, end: Nanos) -> Job {
-        // Where the wanted records lie is not known before all have told their hits, unless they are the first.
+    /// A search that returns the records from `start` on, `count` of them at most.
+    pub fn search(planned_search: PlannedSearch, start: u64, count: u64, deadline: Nanos) -> Job {
+        // Records that do not start at position 1 can be located only once the hit counts are known.
         let first = if start == 1 { count } else { 0 };
-        let run = |partition: &u32| RecordRange { partition: *partition, start: 1, count: first };
-        let ranges = shape.partitions.iter().map(run).collect();
-        Job { shape, step: Step::Count { start, count }, ranges, end }
+        let range = |partition: &u32| RecordRange { partition: *partition, start: 1, count: first };
+        let ranges = planned_search.partitions.iter().map(range).collect();
+        Job { planned_search, step: Step::Count { start, count }, ranges, deadline }
     }
 
-    /// Records of a search whose hits are known.
-    pub fn fetch(shape: PlannedSearch, counts: HitCounts, start: u64, count: u64, end: Nanos) -> Job {
+    /// Fetches records of a search whose hit counts are known.
+    pub fn fetch(
+        planned_search: PlannedSearch,
+        counts: HitCounts,
+        start: u64,
+        count: u64,
+        deadline: Nanos,
+    ) -> Job {
         let ranges = counts.locate(start, count);
-        Job { shape, step: Step::Fetch { counts }, ranges, end }
+        Job { planned_search, step: Step::Fetch { counts }, ranges, deadline }
     }
 
-    /// The search behind it.
+    /// The search of this job.
     pub fn planned_search(&self) -> &PlannedSearch {
-        &self.shape
+        &self.planned_search
     }
 
-    /// The query that is to be put to the exchange now.
+    /// The query to submit to the engine now.
     pub fn query_request(&self, now: Nanos) -> QueryRequest<SearchPayload> {
-        let left = self.end.saturating_sub(now);
-        plan::query_request(&self.shape.search, self.ranges.clone(), self.shape.class, self.shape.key, left)
+        let time_left = self.deadline.saturating_sub(now);
+        plan::query_request(
+            &self.planned_search.search,
+            self.ranges.clone(),
+            self.planned_search.class,
+            self.planned_search.key,
+            time_left,
+        )
     }
 
-    /// Takes in the answer to that query.
-    pub fn on_answer(&mut self, answered: Answer<PartValue>) -> NextStep {
-        let (counts, items) = match plan::merge(&self.ranges, answered) {
+    /// Processes the answer to the current query.
+    pub fn on_answer(&mut self, answer: Answer<PartValue>) -> NextStep {
+        let (counts, items) = match plan::merge(&self.ranges, answer) {
             Ok(merged) => merged,
             Err(d) => return NextStep::Refused(d),
         };
--- a/src/frontends/catalogue/plan.rs
+++ b/src/frontends/catalogue/plan.rs
@@ -1,5 +1,6 @@
-//! From a client's search to parts, and from the parts' values to one list of records. Partitions come one
-//! after the other: record positions count through the first partition, then the next.
+//! Splits a client's search into parts, one for each partition, and merges the parts' values into one list of
+//! records. Record positions run through the partitions in order: all hits of the first partition, then those
+//! of the next.
 
 use super::diagnostic::{Diagnostic, Trouble};
 use super::search::Search;
@@ -8,58 +9,58 @@
 use crate::engine::{Answer, PartRequest, QueryRequest};
 use std::rc::Rc;
 
-/// A run of records of one partition.
+/// A range of consecutive records of one partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordRange {
     /// The partition.
     pub partition: u32,
     /// Its first record, from 1.
     pub start: u64,
-    /// How many; 0: only the count of hits is wanted.
+    /// The number of records; 0 requests only the number of hits.
     pub count: u64,
 }
 
-/// What a query carries: the search, and the run of records that each part is to bring. Any replica can
-/// serve such a part, since it leans on nothing that was asked before.
+/// The payload of a query: the search, and the range of records that each part returns. Any replica can
+/// serve such a part, since it depends on no earlier request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchPayload {
     /// The search.
     pub search: Rc<Search>,
-    /// A run for each part.
+    /// One range for each part.
     pub ranges: Vec<RecordRange>,
 }
 
-/// What one partition gave.
+/// The result of one partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartitionResult {
-    /// Its hits.
+    /// The number of hits.
     pub total: u64,
-    /// The run that was asked for, or as much of it as there is.
+    /// The requested range, or as much of it as exists.
     pub items: Vec<Item>,
 }
 
-/// The value of a part: what was found, or why this search can't be answered by any replica.
+/// The value of a part: the partition's result, or the reason why no replica can answer this search.
 pub type PartValue = Result<PartitionResult, Diagnostic>;
 
-/// The records that each partition brought.
+/// The records that each partition returned.
 pub type PartitionItems = Vec<(u32, Vec<Item>)>;
 
-/// How many hits each partition has; none where a partition did not answer.
+/// The number of hits in each partition; none for a partition that did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HitCounts(pub Vec<(u32, Option<u64>)>);
 
 impl HitCounts {
-    /// All hits that are known.
+    /// The sum of the known hits.
     pub fn total(&self) -> u64 {
         self.0.iter().filter_map(|(_, n)| *n).fold(0, u64::saturating_add)
     }
 
-    /// Partitions that did not answer.
+    /// The number of partitions that did not answer.
     pub fn missing(&self) -> usize {
         self.0.iter().filter(|(_, n)| n.is_none()).count()
     }
 
-    /// Where the records from position `start` on lie, `count` of them at most.
+    /// The ranges that hold the records from position `start` on, `count` of them at most.
     pub fn locate(&self, start: u64, count: u64) -> Vec<RecordRange> {
         let (mut before, mut left, mut out) = (0u64, count, Vec::new());
         for (partition, n) in &self.0 {
@@ -75,7 +76,7 @@
         out
     }
 
-    /// What is to be said of a result that not all partitions gave.
+    /// The diagnostic of a partial result: some partitions did not answer.
     pub fn diagnostic(&self) -> Option<Diagnostic> {
         let missing = self.missing();
         let details = format!("{} of {} partitions answered", self.0.len() - missing, self.0.len());
@@ -83,7 +84,7 @@
     }
 }
 
-/// The partitions that a search must be put to.
+/// The partitions that a search is sent to: all, or the `per_key` partitions of its key.
 pub fn partitions(count: u32, per_key: u32, key: Option<u64>) -> Vec<u32> {
     match key {
         None => (0..count).collect(),
@@ -96,13 +97,13 @@
     }
 }
 
-/// A composition key as a number: FNV-1a with 64 bits over its bytes, without blanks at the ends.
+/// Hash of a composition key: 64-bit FNV-1a over its bytes, without leading and trailing whitespace.
 pub fn key_hash(key: &str) -> u64 {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     key.trim().bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// The query for some ranges.
+/// The query that requests some ranges, one part for each.
 pub fn query_request(
     search: &Rc<Search>,
     ranges: Vec<RecordRange>,
@@ -116,35 +117,35 @@
     QueryRequest { class, tenant: None, key, time_left, is_retry: false, parts, payload }
 }
 
-/// Takes an answer apart: the counts of all partitions asked, and what each brought, in partition order.
-/// A partition that can't answer the search speaks for all.
+/// Splits an answer into the hit counts of the requested partitions and the records of each, in the order of
+/// the request. If one partition can't answer the search, its diagnostic is the result of the whole query.
 pub fn merge(
-    asked: &[RecordRange],
-    answered: Answer<PartValue>,
+    requested: &[RecordRange],
+    answer: Answer<PartValue>,
 ) -> Result<(HitCounts, PartitionItems), Diagnostic> {
-    let mut found = Vec::with_capacity(answered.values.len());
-    for v in answered.values {
-        found.push((v.shard, v.value?));
+    let mut results = Vec::with_capacity(answer.values.len());
+    for v in answer.values {
+        results.push((v.shard, v.value?));
     }
-    let total = |p: u32| found.iter().find(|(s, _)| *s == p).map(|(_, f)| f.total);
-    let counts = HitCounts(asked.iter().map(|r| (r.partition, total(r.partition))).collect());
-    let mut items: PartitionItems = found.into_iter().map(|(s, f)| (s, f.items)).collect();
-    items.sort_by_key(|(s, _)| asked.iter().position(|r| r.partition == *s));
+    let total = |p: u32| results.iter().find(|(s, _)| *s == p).map(|(_, f)| f.total);
+    let counts = HitCounts(requested.iter().map(|r| (r.partition, total(r.partition))).collect());
+    let mut items: PartitionItems = results.into_iter().map(|(s, f)| (s, f.items)).collect();
+    items.sort_by_key(|(s, _)| requested.iter().position(|r| r.partition == *s));
     Ok((counts, items))
 }
 
-/// The records of some ranges, in order. What a partition did not bring stays open by a diagnostic in its
-/// place, so that each record keeps its position.
+/// The records of some ranges, in order. A diagnostic takes the place of each record that a partition did not
+/// return, so that all other records keep their positions.
 pub fn fill_gaps(ranges: &[RecordRange], mut items: PartitionItems) -> Vec<Item> {
     let mut out = Vec::new();
-    for run in ranges {
-        let there = items.iter_mut().find(|(p, _)| *p == run.partition);
-        let mut there = there.map(|(_, i)| std::mem::take(i)).unwrap_or_default();
-        there.truncate(run.count as usize);
-        let open = run.count as usize - there.len();
-        out.append(&mut there);
-        let why = || Diagnostic::new(Trouble::RecordUnavailable, format!("partition {}", run.partition));
-        out.extend((0..open).map(|_| Item::Diagnostic(why())));
+    for range in ranges {
+        let returned = items.iter_mut().find(|(p, _)| *p == range.partition);
+        let mut returned = returned.map(|(_, i)| std::mem::take(i)).unwrap_or_default();
+        returned.truncate(range.count as usize);
+        let missing = range.count as usize - returned.len();
+        out.append(&mut returned);
+        let why = || Diagnostic::new(Trouble::RecordUnavailable, format!("partition {}", range.partition));
+        out.extend((0..missing).map(|_| Item::Diagnostic(why())));
     }
     out
 }
