--- a/src/frontends/catalogue/sru.rs
+++ b/src/frontends/catalogue/sru.rs
@@ -1,4 +1,4 @@
-//! SRU 1.1 and 1.2: requests and responses, for both roles.
+//! SRU 1.1 and 1.2: reads and writes requests and responses, for the server and the client side.
 
 use super::diagnostic::{Diagnostic, Trouble};
 use super::marc::{MARCXML, Record, escape, unescape};
@@ -6,47 +6,48 @@
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::reader::Reader;
 
-/// The schema of records, and its short names.
+/// Identifier of the record schema.
 pub const SCHEMA: &str = "info:srw/schema/1/marcxml-v1.1";
+/// The names by which a request may select the record schema.
 const SCHEMA_NAMES: &[&str] = &[SCHEMA, MARCXML, "marcxml", "marcxml-v1.1"];
 const DIAGNOSTIC_SCHEMA: &str = "info:srw/schema/1/diagnostics-v1.1";
 const NAMESPACE: &str = "http://www.loc.gov/zing/srw/";
 const DIAGNOSTIC_NAMESPACE: &str = "http://www.loc.gov/zing/srw/diagnostic/";
 
-/// How records are packed.
+/// How records are embedded in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordPacking {
-    /// As part of the response's XML.
+    /// As XML elements of the response.
     Xml,
-    /// As text.
+    /// As escaped text.
     String,
 }
 
 /// A request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// What this server can do.
+    /// A request for the description of the server.
     Explain { version: &'static str, packing: RecordPacking },
     /// A search.
     Search(SearchRetrieve),
 }
 
-/// A search and the records that are wanted.
+/// A search and the requested range of records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchRetrieve {
-    /// The version that it is answered in.
+    /// The protocol version of the response.
     pub version: &'static str,
     /// The search, in CQL.
     pub query: String,
     /// The first record, from 1.
     pub start: u64,
-    /// Most records; none: as many as the server likes.
+    /// Maximum number of records; none leaves the number to the server.
     pub maximum: Option<u64>,
-    /// How records are packed.
+    /// How records are embedded in the response.
     pub packing: RecordPacking,
 }
 
-/// The request's parameters, from the target and the body of a form.
+/// The request's parameters, from the query string of the target and from a form body.
 pub fn parameters(target: &str, form: &str) -> Vec<(String, String)> {
     let query = target.split_once('?').map_or("", |(_, q)| q);
     let pairs = query.split('&').chain(form.trim().split('&')).filter(|p| !p.is_empty());
@@ -58,7 +59,7 @@
         .collect()
 }
 
-/// Undoes `%XX` and `+`.
+/// Decodes `%XX` and `+`.
 pub fn percent_decode(text: &str) -> String {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.as_bytes();
@@ -79,16 +80,16 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// Writes text so that it can stand in a target.
+/// Percent-encodes text for use in a request target.
 pub fn percent_encode(text: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~".contains(&b);
     text.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
 }
 
-/// Reads a request; with a diagnostic comes the version that it is to be told in.
+/// Reads a request. A diagnostic comes with the protocol version of the response that reports it.
 pub fn read(parameters: &[(String, String)]) -> Result<Request, (Diagnostic, &'static str)> {
     let get = |name: &str| parameters.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-    // The address alone asks what there is.
+    // A URL without these parameters is an explain request.
     if get("operation").is_none() && get("query").is_none() && get("version").is_none() {
         return Ok(Request::Explain { version: "1.2", packing: RecordPacking::Xml });
     }
@@ -137,25 +138,25 @@
     Ok(Request::Search(SearchRetrieve { version, query: query.to_owned(), start, maximum, packing }))
 }
 
-/// One record of a response, or why it is not there.
+/// One record of a response, or the reason why it is missing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
     /// A record.
     Record(Record),
-    /// Why it is not there.
+    /// The reason why the record is missing.
     Diagnostic(Diagnostic),
 }
 
 /// A response to a search.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
-    /// Hits.
+    /// The number of hits.
     pub total: u64,
     /// Records, in order.
     pub items: Vec<Item>,
-    /// Where the next record is, if there is one.
+    /// The position of the next record, if there is one.
     pub next: Option<u64>,
-    /// What is to be said of the whole.
+    /// Diagnostics of the whole response.
     pub diagnostics: Vec<Diagnostic>,
 }
 
@@ -180,7 +181,7 @@
     )
 }
 
-/// Writes a response whose first record is number `start`.
+/// Writes a response whose first record has the position `start`.
 pub fn write(r: &Response, version: &str, packing: RecordPacking, start: u64) -> Vec<u8> {
     let mut out = format!(
         "<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<searchRetrieveResponse xmlns=\"{NAMESPACE}\">\
@@ -212,14 +213,14 @@
     (out + "</searchRetrieveResponse>").into_bytes()
 }
 
-/// Writes what this server can do, for the database at `host` and `port`.
+/// Writes the explain response for the database at `host` and `port`.
 pub fn explain(
     version: &str,
     packing: RecordPacking,
     host: &str,
     port: u16,
     database: &str,
-    most: u64,
+    max_records: u64,
 ) -> Vec<u8> {
     let mut info = format!(
         "<explain xmlns=\"http://explain.z3950.org/dtd/2.0/\"><serverInfo protocol=\"SRU\" version=\"1.2\" \
@@ -239,7 +240,8 @@
     info += &format!(
         "</indexInfo><schemaInfo><schema identifier=\"{SCHEMA}\" name=\"marcxml\" sort=\"false\" \
          retrieve=\"true\"><title>MARCXML</title></schema></schemaInfo><configInfo>\
-         <default type=\"numberOfRecords\">{most}</default><setting type=\"maximumRecords\">{most}</setting>\
+         <default type=\"numberOfRecords\">{max_records}</default>\
+         <setting type=\"maximumRecords\">{max_records}</setting>\
          </configInfo></explain>"
     );
     let record = write_record("http://explain.z3950.org/dtd/2.0/", packing, &info, 1);
@@ -251,27 +253,32 @@
     .into_bytes()
 }
 
-/// Reads a response to a search; says in a few words why one can't be read.
+/// Reads a response to a search. The error is a short reason for the log.
 pub fn read_response(body: &[u8]) -> Result<Response, &'static str> {
-    let xml = std::str::from_utf8(body).map_err(|_| "not in UTF-8")?;
+    let xml = std::str::from_utf8(body).map_err(|_| "invalid UTF-8")?;
     let mut reader = Reader::from_str(xml);
     let (mut out, mut total) = (Response::default(), None);
     let (mut packing, mut schema) = (RecordPacking::Xml, String::new());
     let mut root = false;
     loop {
-        let event = reader.read_event().map_err(|_| "broken XML")?;
+        let event = reader.read_event().map_err(|_| "malformed XML")?;
         let Event::Start(e) = event else {
             match event {
                 Event::End(e) if root && e.local_name().as_ref() == "searchRetrieveResponse" => break,
-                // Guards against a response that was cut short: it is no answer, however much of it is there.
-                Event::Eof => return Err("no whole response to a search"),
+                // A truncated response is an error, even if all its records were read.
+                Event::Eof => return Err("an incomplete searchRetrieve response"),
                 _ => continue,
             }
         };
         match e.local_name().as_ref() {
             "searchRetrieveResponse" => root = true,
             "numberOfRecords" => {
-                total = Some(text(&mut reader, &e)?.trim().parse().map_err(|_| "a count that is no number")?);
+                total = Some(
+                    text(&mut reader, &e)?
+                        .trim()
+                        .parse()
+                        .map_err(|_| "a numberOfRecords that is not a number")?,
+                );
             }
             "nextRecordPosition" => out.next = text(&mut reader, &e)?.trim().parse().ok(),
             "record" => (packing, schema) = (RecordPacking::Xml, String::new()),
@@ -284,10 +291,10 @@
                 };
             }
             "recordData" => {
-                let raw = reader.read_text(e.name()).map_err(|_| "broken XML")?;
+                let raw = reader.read_text(e.name()).map_err(|_| "malformed XML")?;
                 let data = match packing {
                     RecordPacking::Xml => raw.to_string(),
-                    RecordPacking::String => unescape(&raw).ok_or("an unknown entity")?,
+                    RecordPacking::String => unescape(&raw).ok_or("an unknown XML entity")?,
                 };
                 out.items.push(if schema.trim() == DIAGNOSTIC_SCHEMA {
                     Item::Diagnostic(read_diagnostic(&data)?)
@@ -297,7 +304,7 @@
                 });
             }
             "diagnostics" => {
-                let raw = reader.read_text(e.name()).map_err(|_| "broken XML")?;
+                let raw = reader.read_text(e.name()).map_err(|_| "malformed XML")?;
                 out.diagnostics.push(read_diagnostic(&raw)?);
             }
             _ => {}
@@ -305,23 +312,23 @@
     }
     match total {
         Some(total) => out.total = total,
-        None if out.diagnostics.is_empty() => return Err("no count"),
+        None if out.diagnostics.is_empty() => return Err("neither numberOfRecords nor a diagnostic"),
         None => {}
     }
     Ok(out)
 }
 
 fn text(reader: &mut Reader<&[u8]>, start: &BytesStart) -> Result<String, &'static str> {
-    let raw = reader.read_text(start.name()).map_err(|_| "broken XML")?;
-    unescape(&raw).ok_or("an unknown entity")
+    let raw = reader.read_text(start.name()).map_err(|_| "malformed XML")?;
+    unescape(&raw).ok_or("an unknown XML entity")
 }
 
-/// Reads the first diagnostic of some XML.
+/// Reads the first diagnostic in `xml`.
 fn read_diagnostic(xml: &str) -> Result<Diagnostic, &'static str> {
     let mut reader = Reader::from_str(xml);
     let (mut number, mut details) = (None, String::new());
     loop {
-        match reader.read_event().map_err(|_| "broken XML")? {
+        match reader.read_event().map_err(|_| "malformed XML")? {
             Event::Start(e) => match e.local_name().as_ref() {
                 "uri" => {
                     number = text(&mut reader, &e)?.trim().rsplit('/').next().and_then(|n| n.parse().ok())
