--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Every parser against random cuts of valid messages and against garbage, from fixed seeds.
+//! Runs every parser on randomly fragmented valid messages and on random input, from fixed seeds.
 
 use pebbleturn::frontends::catalogue::apdu::*;
 use pebbleturn::frontends::catalogue::ber::{self, Element};
@@ -11,13 +11,13 @@
 use pebbleturn::net::Pool;
 use quickcheck::{Arbitrary, Gen};
 
-/// Holds a property against the same 300 values every time.
+/// Checks a property on 300 random values, the same in every run.
 fn check<A: Arbitrary>(seed: u64, property: impl Fn(A)) {
     let mut source = Gen::from_size_and_seed(60, seed);
     (0..300).for_each(|_| property(A::arbitrary(&mut source)));
 }
 
-/// Reads all messages of `bytes`, handed over in pieces of the given sizes.
+/// Reads all messages of `bytes`, passed to the reader in fragments of the given sizes.
 fn read_http(kind: MessageKind, bytes: &[u8], cuts: &[u8]) -> Result<Vec<(String, Vec<u8>)>, HttpError> {
     let (pool, mut reader, mut out) = (Pool::new(4), Reader::new(kind), vec![]);
     let (mut held, mut from, mut cuts) = (vec![], 0, cuts.iter().cycle());
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn garbage_breaks_no_parser() {
+fn no_parser_panics_on_random_input() {
     check(2, |(bytes, cut): (Vec<u8>, usize)| {
-        // Valid starts lead garbage further in.
+        // A valid start takes the parser past its first checks before it meets the random bytes.
         let apdu = Element::of(bcder::Tag::ctx(22), vec![]).encode();
         for start in
             [&b""[..], b"\0\0\0\x20Y", &REQUESTS[..cut % REQUESTS.len()], &apdu, b"<searchRetrieveResponse>"]
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_frame_holds_one_answer_in_its_form_and_a_bad_report_takes_nothing_from_it() {
+fn a_frame_holds_one_well_formed_answer_and_an_invalid_load_report_is_ignored() {
     let frame = |body: &[u8]| [&(body.len() as u32).to_be_bytes()[..], body].concat();
     for report in ["busy=-3", "util=lots", "util=1e99", "\u{7f}", "a b c", ""] {
         let bytes = frame(format!("Yq.3 OK 17 {report}\nvalue").as_bytes());
@@ -103,7 +103,7 @@
         assert_eq!(frame::read(&bytes), Ok(Some((bytes.len(), answer))), "{report}");
     }
     assert!(frame::read(&frame(b"Yq.3 OK 17 \xff\xfe\nvalue")).is_ok());
-    // The start of the next frame in a value, and a line without end, in whole and while it is coming.
+    // A value with the start of the next frame in it, and a line without an end, whole and partly received.
     assert!(frame::read(&frame(b"Yq.3 OK 17 -\nvalue\0\0\0")).is_err());
     let endless = frame(&[b"Y".to_vec(), vec![b'x'; 2000]].concat());
     assert!(frame::read(&endless).is_err() && frame::read(&endless[..1100]).is_err());
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn frames_read_alike_however_they_are_cut() {
+fn frames_are_read_only_when_complete_and_valid() {
     let value = "5be2a07c";
     let body = format!("Yq.3 OK 12 queue=2,util=0.61\n{value}");
     let frame = [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat();
@@ -137,10 +137,10 @@
 
 /// A random search.
 #[derive(Clone, Debug)]
-struct Any(Search);
+struct RandomSearch(Search);
 
-impl Arbitrary for Any {
-    fn arbitrary(g: &mut Gen) -> Any {
+impl Arbitrary for RandomSearch {
+    fn arbitrary(g: &mut Gen) -> RandomSearch {
         fn search(g: &mut Gen, depth: usize) -> Search {
             if depth > 0 && bool::arbitrary(g) {
                 let op = *g.choose(&[Operator::And, Operator::Or, Operator::AndNot]).unwrap();
@@ -161,21 +161,21 @@
             }
             Search::Clause(c)
         }
-        Any(search(g, 5))
+        RandomSearch(search(g, 5))
     }
 }
 
 #[test]
-fn searches_survive_both_languages() {
-    check(3, |any: Any| {
-        let text = cql::write(&any.0).unwrap();
-        assert_eq!(cql::parse(&text).as_ref(), Ok(&any.0), "{text}");
-        assert_eq!(rpn::read(&rpn::write(&any.0), &|_| None).as_ref(), Ok(&any.0));
+fn searches_round_trip_through_cql_and_rpn() {
+    check(3, |random: RandomSearch| {
+        let text = cql::write(&random.0).unwrap();
+        assert_eq!(cql::parse(&text).as_ref(), Ok(&random.0), "{text}");
+        assert_eq!(rpn::read(&rpn::write(&random.0), &|_| None).as_ref(), Ok(&random.0));
     });
 }
 
 #[test]
-fn cql_reads_what_the_standard_shows() {
+fn cql_examples_and_errors_match_the_standard() {
     let written = |text: &str| cql::parse(text).and_then(|s| cql::write(&s)).unwrap();
     assert_eq!(written("fish"), "cql.serverchoice = \"fish\"");
     assert_eq!(written("title any \"raga tala\""), "(dc.title = \"raga\") or (dc.title = \"tala\")");
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn marc_survives_both_forms_and_every_cut() {
+fn marc_records_round_trip_and_truncated_ones_are_rejected() {
     let r = record();
     let bytes = r.to_iso2709().unwrap();
     assert_eq!(Record::from_iso2709(&bytes).as_ref(), Ok(&r));
@@ -230,7 +230,7 @@
     }
     let mut other = bytes.clone();
     other[9] = b' ';
-    assert!(Record::from_iso2709(&other).is_err(), "MARC-8 beyond ASCII is not taken for UTF-8");
+    assert!(Record::from_iso2709(&other).is_err(), "MARC-8 outside ASCII must not be read as UTF-8");
     check(4, move |places: Vec<(usize, u8)>| {
         let mut broken = bytes.clone();
         for (at, byte) in places {
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn apdus_survive_and_tell_where_they_end() {
+fn apdus_round_trip_and_their_size_is_known_only_when_complete() {
     let d = || Diagnostic::new(Trouble::UnsupportedIndex, "99");
     let reference = Some(vec![1, 2]);
     let search = Search::Clause(Clause::new(4, "raga"));
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_diagnostic_s_words_are_what_each_version_reads() {
+fn diagnostic_texts_are_encoded_for_each_protocol_version() {
     let d = Diagnostic::new(Trouble::UnsupportedIndex, "9\u{e9}");
     let records = Records::Diagnostic(d);
     let apdu = Apdu::PresentResponse(PresentResponse { reference: None, next: 0, status: 5, records });
@@ -339,7 +339,7 @@
         [vec![0x30], length, inner].concat()
     });
     assert!(Element::decode(&nested).is_err());
-    assert!(ber::size(&[0x30, 0x84, 0x7f, 0, 0, 0]).is_err(), "a length past the limit");
+    assert!(ber::size(&[0x30, 0x84, 0x7f, 0, 0, 0]).is_err(), "a length above the limit");
     for (dotted, bytes) in
         [(USMARC, &[6, 7, 0x2a, 0x86, 0x48, 0xce, 0x13, 5, 10][..]), ("2.999.3", &[6, 3, 0x88, 0x37, 3])]
     {
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn sru_responses_survive_in_both_packings() {
+fn sru_responses_round_trip_in_both_record_packings() {
     use sru::{Item, RecordPacking, Response};
     let d = Diagnostic::new(Trouble::PartialResult, "2 of 3 <parts>");
     let items =
@@ -365,7 +365,7 @@
 }
 
 #[test]
-fn sru_requests_meet_the_standard_numbers() {
+fn invalid_sru_requests_get_the_standard_diagnostic_numbers() {
     let number = |target: &str| sru::read(&sru::parameters(target, "")).map_err(|(d, _)| d.sru());
     let base = "/scores?version=1.1&operation=searchRetrieve";
     for (more, expected) in [
