--- a/src/frontends/catalogue/job.rs
+++ b/src/frontends/catalogue/job.rs
@@ -1,112 +1,124 @@
-//! One request of a client's that is being worked on: which query is out for it, and what comes next.
+//! A client request in progress: the query that is sent for it, and the step that follows the answer.
 
 use super::diagnostic::Diagnostic;
-use super::plan::{self, Counts, PartValue, Run, Sought};
+use super::plan::{self, HitCounts, PartValue, RecordRange, SearchPayload};
 use super::search::Search;
 use super::sru::Item;
 use crate::api::Nanos;
 use crate::engine::{Answer, QueryRequest};
 use std::rc::Rc;
 
-/// A search as it is put to the nodes, again and again if need be.
+/// A search with its class, its composition key and the partitions that it covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shape {
+pub struct PlannedSearch {
     /// The search.
     pub search: Rc<Search>,
     /// Its class.
     pub class: usize,
     /// Its composition key.
     pub key: Option<u64>,
-    /// The partitions it is put to.
+    /// The partitions it is sent to.
     pub partitions: Vec<u32>,
 }
 
-/// What a job came to.
+/// The result of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
-    /// Hits in each partition.
-    pub counts: Counts,
-    /// The records that were asked for.
+pub struct SearchResult {
+    /// The number of hits in each partition.
+    pub counts: HitCounts,
+    /// The requested records.
     pub items: Vec<Item>,
 }
 
-/// What is to be done after an answer.
+/// The step that follows an answer.
 #[derive(Debug)]
-pub enum Next {
-    /// There is a further query to be put to the exchange.
-    Ask,
+pub enum NextStep {
+    /// A further query is submitted to the engine.
+    SendQuery,
     /// The job is done.
-    Done(Outcome),
+    Done(SearchResult),
     /// No replica can answer this search.
     Refused(Diagnostic),
 }
 
 #[derive(Debug)]
 enum Step {
-    /// Each partition tells its hits and, where the first records are wanted, brings them.
+    /// Each partition returns its number of hits and, if `start` is 1, its first `count` records.
     Count { start: u64, count: u64 },
-    /// The records are fetched from where they lie.
-    Fetch { counts: Counts },
+    /// The records are fetched from the partitions that hold them.
+    Fetch { counts: HitCounts },
 }
 
-/// A job.
+/// A client request that takes one or two queries.
 #[derive(Debug)]
 pub struct Job {
-    shape: Shape,
+    planned_search: PlannedSearch,
     step: Step,
-    runs: Vec<Run>,
-    /// When the client gives up.
-    pub end: Nanos,
+    ranges: Vec<RecordRange>,
+    /// When the client stops waiting.
+    pub deadline: Nanos,
 }
 
 impl Job {
-    /// A search whose records from `start` on are wanted, `count` of them at most.
-    pub fn search(shape: Shape, start: u64, count: u64, end: Nanos) -> Job {
-        // Where the wanted records lie is not known before all have told their hits, unless they are the first.
+    /// A search that returns the records from `start` on, `count` of them at most.
+    pub fn search(planned_search: PlannedSearch, start: u64, count: u64, deadline: Nanos) -> Job {
+        // Records that do not start at position 1 can be located only once the hit counts are known.
         let first = if start == 1 { count } else { 0 };
-        let run = |partition: &u32| Run { partition: *partition, start: 1, count: first };
-        let runs = shape.partitions.iter().map(run).collect();
-        Job { shape, step: Step::Count { start, count }, runs, end }
+        let range = |partition: &u32| RecordRange { partition: *partition, start: 1, count: first };
+        let ranges = planned_search.partitions.iter().map(range).collect();
+        Job { planned_search, step: Step::Count { start, count }, ranges, deadline }
     }
 
-    /// Records of a search whose hits are known.
-    pub fn fetch(shape: Shape, counts: Counts, start: u64, count: u64, end: Nanos) -> Job {
-        let runs = counts.locate(start, count);
-        Job { shape, step: Step::Fetch { counts }, runs, end }
+    /// Fetches records of a search whose hit counts are known.
+    pub fn fetch(
+        planned_search: PlannedSearch,
+        counts: HitCounts,
+        start: u64,
+        count: u64,
+        deadline: Nanos,
+    ) -> Job {
+        let ranges = counts.locate(start, count);
+        Job { planned_search, step: Step::Fetch { counts }, ranges, deadline }
     }
 
-    /// The search behind it.
-    pub fn shape(&self) -> &Shape {
-        &self.shape
+    /// The search of this job.
+    pub fn planned_search(&self) -> &PlannedSearch {
+        &self.planned_search
     }
 
-    /// The query that is to be put to the exchange now.
-    pub fn ask(&self, now: Nanos) -> QueryRequest<Sought> {
-        let left = self.end.saturating_sub(now);
-        plan::ask(&self.shape.search, self.runs.clone(), self.shape.class, self.shape.key, left)
+    /// The query to submit to the engine now.
+    pub fn query_request(&self, now: Nanos) -> QueryRequest<SearchPayload> {
+        let time_left = self.deadline.saturating_sub(now);
+        plan::query_request(
+            &self.planned_search.search,
+            self.ranges.clone(),
+            self.planned_search.class,
+            self.planned_search.key,
+            time_left,
+        )
     }
 
-    /// Takes in the answer to that query.
-    pub fn answered(&mut self, answered: Answer<PartValue>) -> Next {
-        let (counts, items) = match plan::merge(&self.runs, answered) {
+    /// Processes the answer to the current query.
+    pub fn on_answer(&mut self, answer: Answer<PartValue>) -> NextStep {
+        let (counts, items) = match plan::merge(&self.ranges, answer) {
             Ok(merged) => merged,
-            Err(d) => return Next::Refused(d),
+            Err(d) => return NextStep::Refused(d),
         };
         match &self.step {
             Step::Count { start, count } => {
                 let (start, count) = (*start, *count);
-                let runs = counts.locate(start, count);
-                if start == 1 || runs.is_empty() {
-                    let items = plan::fill(&runs, items);
-                    return Next::Done(Outcome { counts, items });
+                let ranges = counts.locate(start, count);
+                if start == 1 || ranges.is_empty() {
+                    let items = plan::fill_gaps(&ranges, items);
+                    return NextStep::Done(SearchResult { counts, items });
                 }
-                self.runs = runs;
+                self.ranges = ranges;
                 self.step = Step::Fetch { counts };
-                Next::Ask
+                NextStep::SendQuery
             }
             Step::Fetch { counts } => {
-                let items = plan::fill(&self.runs, items);
-                Next::Done(Outcome { counts: counts.clone(), items })
+                let items = plan::fill_gaps(&self.ranges, items);
+                NextStep::Done(SearchResult { counts: counts.clone(), items })
             }
         }
     }
