--- a/lab/src/standins.rs
+++ b/lab/src/standins.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for index nodes and discovery, written from the protocols' public specifications.
 
 use pebbleturn::frontends::catalogue::apdu::*;
-use pebbleturn::frontends::catalogue::diagnostic::{Diagnostic, Trouble};
+use pebbleturn::frontends::catalogue::diagnostic::{Condition, Diagnostic};
 use pebbleturn::frontends::catalogue::marc::{Field, Record};
 use pebbleturn::frontends::catalogue::{ber, rpn, sru};
 use std::collections::{HashMap, VecDeque};
@@ -271,7 +271,7 @@
         let mut r = sru::Response { total: RECORDS, ..Default::default() };
         match script.act(number, partition) {
             Act::Busy => status = "503 Service Unavailable",
-            Act::Fail => r.diagnostics.push(Diagnostic::new(Trouble::GeneralError, "broken")),
+            Act::Fail => r.diagnostics.push(Diagnostic::new(Condition::GeneralError, "broken")),
             Act::Break => return None,
             _ => {
                 let last = (s.start - 1 + s.maximum.unwrap_or(10)).min(RECORDS);
@@ -312,9 +312,9 @@
                 partition = r.databases[0].strip_prefix("part-")?.parse().ok()?;
                 let Query::Rpn(query) = &r.query else { return None };
                 rpn::read(query, &|_| None).ok()?;
-                let trouble = match script.act(number, partition) {
-                    Act::Busy => Some(Trouble::TemporarilyUnavailable),
-                    Act::Fail => Some(Trouble::GeneralError),
+                let condition = match script.act(number, partition) {
+                    Act::Busy => Some(Condition::TemporarilyUnavailable),
+                    Act::Fail => Some(Condition::GeneralError),
                     Act::Break => return None,
                     _ => None,
                 };
@@ -322,10 +322,10 @@
                     reference: r.reference,
                     count: RECORDS as i64,
                     next: 1,
-                    success: trouble.is_none(),
-                    set_status: trouble.map(|_| 3),
+                    success: condition.is_none(),
+                    set_status: condition.map(|_| 3),
                     present_status: None,
-                    records: trouble
+                    records: condition
                         .map_or(Records::None, |t| Records::Diagnostic(Diagnostic::new(t, "scripted"))),
                 })
             }
--- a/src/frontends/catalogue/apdu.rs
+++ b/src/frontends/catalogue/apdu.rs
@@ -392,8 +392,8 @@
 
     /// The answer to a request for a service that was not agreed on; none where a session ends with it.
     pub fn unsupported(tag: u32, mark: &Reference) -> Option<Vec<u8>> {
-        let trouble = super::diagnostic::Trouble::UnsupportedOperation;
-        let record = diagnostic(Tag::SEQUENCE, &Diagnostic::new(trouble, "service not supported"));
+        let condition = super::diagnostic::Condition::UnsupportedOperation;
+        let record = diagnostic(Tag::SEQUENCE, &Diagnostic::new(condition, "service not supported"));
         let mut out = reference(mark);
         let answer = match tag {
             // Scan: status 6 is failure.
--- a/src/frontends/catalogue/cql.rs
+++ b/src/frontends/catalogue/cql.rs
@@ -1,6 +1,6 @@
 //! CQL 1.1 and 1.2: read into a search, and written from one.
 
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::search::*;
 
 /// Deepest parentheses. Guards the stack.
@@ -21,7 +21,7 @@
 const SYMBOLS: &[&str] = &["<=", ">=", "<>", "==", "=", "<", ">", "(", ")", "/"];
 
 fn syntax(what: &str) -> Diagnostic {
-    Diagnostic::new(Trouble::QuerySyntax, what)
+    Diagnostic::new(Condition::QuerySyntax, what)
 }
 
 fn tokens(query: &str) -> Result<Vec<Token>, Diagnostic> {
@@ -61,7 +61,7 @@
     match p.peek() {
         None => search.check(),
         Some(Token::Text { raw, .. }) if raw.eq_ignore_ascii_case("sortby") => {
-            Err(Diagnostic::new(Trouble::UnsupportedSort, "sortBy"))
+            Err(Diagnostic::new(Condition::UnsupportedSort, "sortBy"))
         }
         Some(_) => Err(syntax("something after the end of the query")),
     }
@@ -120,7 +120,7 @@
         let (first, _) = self.text()?;
         let (name, uri) = if self.symbol("=") { (first, self.text()?.0) } else { (String::new(), first) };
         let set = CONTEXT_SETS.iter().find(|(_, known)| *known == uri);
-        let (set, _) = set.ok_or_else(|| Diagnostic::new(Trouble::UnsupportedContextSet, uri.as_str()))?;
+        let (set, _) = set.ok_or_else(|| Diagnostic::new(Condition::UnsupportedContextSet, uri.as_str()))?;
         self.prefixes.push((name.to_ascii_lowercase(), set));
         Ok(())
     }
@@ -131,14 +131,14 @@
             "and" => Operator::And,
             "or" => Operator::Or,
             "not" => Operator::AndNot,
-            "prox" => return Err(Diagnostic::new(Trouble::ProximityUnsupported, "prox")),
+            "prox" => return Err(Diagnostic::new(Condition::ProximityUnsupported, "prox")),
             "sortby" => return Ok(None),
-            other => return Err(Diagnostic::new(Trouble::UnsupportedOperator, other)),
+            other => return Err(Diagnostic::new(Condition::UnsupportedOperator, other)),
         };
         self.at += 1;
         if self.symbol("/") {
             let modifier = self.text().map(|t| t.0).unwrap_or_default();
-            return Err(Diagnostic::new(Trouble::OperatorModifier, modifier));
+            return Err(Diagnostic::new(Condition::OperatorModifier, modifier));
         }
         Ok(Some(operator))
     }
@@ -167,7 +167,7 @@
         self.at += 1;
         if self.symbol("/") {
             let modifier = self.text().map(|t| t.0).unwrap_or_default();
-            return Err(Diagnostic::new(Trouble::UnsupportedRelationModifier, modifier));
+            return Err(Diagnostic::new(Condition::UnsupportedRelationModifier, modifier));
         }
         let (term, _) = self.text()?;
         let access = self.access(&first)?;
@@ -175,7 +175,7 @@
     }
 
     fn access(&self, index: &str) -> Result<u16, Diagnostic> {
-        let unknown = || Diagnostic::new(Trouble::UnsupportedIndex, index);
+        let unknown = || Diagnostic::new(Condition::UnsupportedIndex, index);
         let (prefix, name) = index.split_once('.').unwrap_or(("", index));
         let prefix = prefix.to_ascii_lowercase();
         if let Some((_, set)) = self.prefixes.iter().rev().find(|(p, _)| *p == prefix) {
@@ -183,7 +183,7 @@
         }
         if !prefix.is_empty() {
             if !CONTEXT_SETS.iter().any(|(set, _)| *set == prefix) {
-                return Err(Diagnostic::new(Trouble::UnsupportedContextSet, prefix));
+                return Err(Diagnostic::new(Condition::UnsupportedContextSet, prefix));
             }
             return access_of(index).ok_or_else(unknown);
         }
@@ -212,10 +212,10 @@
         "any" => {
             let clauses = raw.split_whitespace().map(|w| term(access, w).map(Search::Clause));
             let mut clauses = clauses.collect::<Result<Vec<_>, _>>()?.into_iter();
-            let first = clauses.next().ok_or_else(|| Diagnostic::new(Trouble::EmptyTerm, ""))?;
+            let first = clauses.next().ok_or_else(|| Diagnostic::new(Condition::EmptyTerm, ""))?;
             return Ok(clauses.fold(first, |l, r| Search::join(Operator::Or, l, r)));
         }
-        other => return Err(Diagnostic::new(Trouble::UnsupportedRelation, other)),
+        other => return Err(Diagnostic::new(Condition::UnsupportedRelation, other)),
     }
     Ok(Search::Clause(clause))
 }
@@ -234,7 +234,7 @@
         }
     }
     if escaped {
-        return Err(Diagnostic::new(Trouble::MalformedTerm, raw));
+        return Err(Diagnostic::new(Condition::MalformedTerm, raw));
     }
     let first_in_field = chars.first() == Some(&('^', false));
     chars.drain(..usize::from(first_in_field));
@@ -243,12 +243,12 @@
     chars.drain(..usize::from(left));
     chars.truncate(chars.len() - usize::from(right));
     if let Some((c, _)) = chars.iter().find(|(c, escaped)| !escaped && matches!(c, '*' | '?' | '^')) {
-        let trouble = if *c == '^' { Trouble::AnchorUnsupported } else { Trouble::MaskingUnsupported };
-        return Err(Diagnostic::new(trouble, raw));
+        let condition = if *c == '^' { Condition::AnchorUnsupported } else { Condition::MaskingUnsupported };
+        return Err(Diagnostic::new(condition, raw));
     }
     let text: String = chars.into_iter().map(|(c, _)| c).collect();
     if text.trim().is_empty() {
-        return Err(Diagnostic::new(Trouble::EmptyTerm, raw));
+        return Err(Diagnostic::new(Condition::EmptyTerm, raw));
     }
     let truncation = match (left, right) {
         (false, false) => Truncation::None,
@@ -275,8 +275,8 @@
 }
 
 fn write_clause(c: &Clause) -> Result<String, Diagnostic> {
-    let index =
-        index_of(c.access).ok_or_else(|| Diagnostic::new(Trouble::UnsupportedIndex, c.access.to_string()))?;
+    let index = index_of(c.access)
+        .ok_or_else(|| Diagnostic::new(Condition::UnsupportedIndex, c.access.to_string()))?;
     let relation = match (c.relation, c.structure) {
         (Relation::Less, _) => "<",
         (Relation::LessOrEqual, _) => "<=",
--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -3,7 +3,7 @@
 use super::apdu::{Apdu, CloseReason};
 use super::ber;
 use super::cql;
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::job::{Job, Next, Outcome, Shape};
 use super::plan::{self, PartValue, Sought};
 use super::search::{self, Search};
@@ -65,7 +65,7 @@
     fn shape(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic> {
         let o = &self.operator;
         let found = o.database.iter().find(|d| d.name == database);
-        let database = found.ok_or_else(|| Diagnostic::new(Trouble::NoSuchDatabase, database))?;
+        let database = found.ok_or_else(|| Diagnostic::new(Condition::NoSuchDatabase, database))?;
         let class = o.class.iter().position(|c| c.name == database.class).unwrap_or(0);
         let key = self.key_access.and_then(|a| search.key(a)).map(plan::key_number);
         let partitions = plan::partitions(o.partitions.count, o.partitions.per_key, key);
@@ -368,7 +368,7 @@
                     None => wait,
                     Some(Ok(ms)) => wait.min(ms.saturating_mul(1_000_000)),
                     Some(Err(_)) => {
-                        let d = Diagnostic::new(Trouble::UnsupportedParameterValue, "x-deadline-ms");
+                        let d = Diagnostic::new(Condition::UnsupportedParameterValue, "x-deadline-ms");
                         return self.diagnose(conn, 200, &[], &d, s.version, hands);
                     }
                 };
@@ -450,7 +450,7 @@
         match answer {
             QueryOutcome::Rejected { retry_after: wait } => self.refused(conn, wait, hands),
             QueryOutcome::Failed => {
-                let d = Diagnostic::new(Trouble::OutOfTime, "no answer in time");
+                let d = Diagnostic::new(Condition::OutOfTime, "no answer in time");
                 self.failed(conn, 504, &[], d, hands);
             }
             QueryOutcome::Answered(answered) => match job.answered(answered) {
@@ -468,7 +468,7 @@
 
     fn refused(&mut self, conn: ConnId, wait: Nanos, hands: &mut Hand) {
         let text = http::retry_after(wait);
-        let d = Diagnostic::new(Trouble::TemporarilyUnavailable, format!("ask again after {text} s"));
+        let d = Diagnostic::new(Condition::TemporarilyUnavailable, format!("ask again after {text} s"));
         let headers: &[(&str, &str)] = if wait > 0 { &[("Retry-After", &text)] } else { &[] };
         self.failed(conn, 503, headers, d, hands);
     }
@@ -601,7 +601,7 @@
     let next = start.saturating_add(outcome.items.len() as u64);
     let mut diagnostics: Vec<Diagnostic> = outcome.counts.diagnostic().into_iter().collect();
     if start > 1 && start > total {
-        diagnostics.push(Diagnostic::new(Trouble::FirstPositionOutOfRange, start.to_string()));
+        diagnostics.push(Diagnostic::new(Condition::FirstPositionOutOfRange, start.to_string()));
     }
     let next = (next <= total).then_some(next);
     sru::write(&sru::Response { total, items: outcome.items, next, diagnostics }, version, packing, start)
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -2,7 +2,7 @@
 
 use super::apdu::*;
 use super::ber;
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::marc::Record;
 use super::plan::{Found, PartValue};
 use super::search::Search;
@@ -221,10 +221,10 @@
 
 /// What a diagnostic for a whole search means for the attempt.
 fn refused(d: Diagnostic) -> Step {
-    Step::Done(match d.trouble {
-        Trouble::TemporarilyUnavailable => Err(Outcome::Rejected),
+    Step::Done(match d.condition {
+        Condition::TemporarilyUnavailable => Err(Outcome::Rejected),
         // Half of a partition is not that partition's answer; another replica may have all of it.
-        Trouble::PartialResult => Err(Outcome::Error),
+        Condition::PartialResult => Err(Outcome::Error),
         _ if d.is_of_server() => Err(Outcome::Error),
         _ => Ok(Err(d)),
     })
@@ -247,7 +247,7 @@
         }
     };
     match response.diagnostics.into_iter().next() {
-        Some(d) if d.trouble == Trouble::FirstPositionOutOfRange => {}
+        Some(d) if d.condition == Condition::FirstPositionOutOfRange => {}
         Some(d) => return Ok(refused(d)),
         None => {}
     }
@@ -299,7 +299,7 @@
             let task = task.as_mut().ok_or_else(unasked)?;
             let records = match r.records {
                 Records::Some(records) => records,
-                Records::Diagnostic(d) if d.trouble == Trouble::FirstPositionOutOfRange => vec![],
+                Records::Diagnostic(d) if d.condition == Condition::FirstPositionOutOfRange => vec![],
                 Records::Diagnostic(d) => return Ok(refused(d)),
                 Records::None => vec![],
             };
@@ -315,7 +315,7 @@
 }
 
 fn item(r: Retrieved) -> Item {
-    let why = |e: String| Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, e));
+    let why = |e: String| Item::Diagnostic(Diagnostic::new(Condition::RecordUnavailable, e));
     match r {
         Retrieved::Diagnostic(d) => Item::Diagnostic(d),
         Retrieved::Record { syntax, bytes } if syntax == USMARC => {
--- a/src/frontends/catalogue/plan.rs
+++ b/src/frontends/catalogue/plan.rs
@@ -1,7 +1,7 @@
 //! From a client's search to parts, and from the parts' values to one list of records. Partitions come one
 //! after the other: record positions count through the first partition, then the next.
 
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::search::Search;
 use super::sru::Item;
 use crate::api::Nanos;
@@ -79,7 +79,7 @@
     pub fn diagnostic(&self) -> Option<Diagnostic> {
         let missing = self.missing();
         let details = format!("{} of {} partitions answered", self.0.len() - missing, self.0.len());
-        (missing > 0).then(|| Diagnostic::new(Trouble::PartialResult, details))
+        (missing > 0).then(|| Diagnostic::new(Condition::PartialResult, details))
     }
 }
 
@@ -140,7 +140,7 @@
         there.truncate(run.count as usize);
         let open = run.count as usize - there.len();
         out.append(&mut there);
-        let why = || Diagnostic::new(Trouble::RecordUnavailable, format!("partition {}", run.partition));
+        let why = || Diagnostic::new(Condition::RecordUnavailable, format!("partition {}", run.partition));
         out.extend((0..open).map(|_| Item::Diagnostic(why())));
     }
     out
--- a/src/frontends/catalogue/rpn.rs
+++ b/src/frontends/catalogue/rpn.rs
@@ -1,7 +1,7 @@
 //! Type-1 queries of Z39.50 with Bib-1 attributes: read into a search, and written from one.
 
 use super::ber::Element;
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::search::*;
 use bcder::Tag;
 
@@ -17,11 +17,11 @@
 }
 
 fn malformed(what: &str) -> Diagnostic {
-    Diagnostic::new(Trouble::QuerySyntax, what)
+    Diagnostic::new(Condition::QuerySyntax, what)
 }
 
 fn check_set(oid: &str) -> Result<(), Diagnostic> {
-    if oid == BIB1 { Ok(()) } else { Err(Diagnostic::new(Trouble::UnsupportedAttributeSet, oid)) }
+    if oid == BIB1 { Ok(()) } else { Err(Diagnostic::new(Condition::UnsupportedAttributeSet, oid)) }
 }
 
 fn structure_of(
@@ -37,7 +37,7 @@
             t if t == Tag::ctx(102) => clause(operand).map(Search::Clause),
             t if t == Tag::ctx(31) => {
                 let name = operand.as_text().unwrap_or_default();
-                stored(&name).ok_or_else(|| Diagnostic::new(Trouble::NoSuchResultSet, name))
+                stored(&name).ok_or_else(|| Diagnostic::new(Condition::NoSuchResultSet, name))
             }
             _ => Err(malformed("an unknown operand")),
         },
@@ -50,8 +50,10 @@
                 t if t == Tag::ctx(0) => Operator::And,
                 t if t == Tag::ctx(1) => Operator::Or,
                 t if t == Tag::ctx(2) => Operator::AndNot,
-                t if t == Tag::ctx(3) => return Err(Diagnostic::new(Trouble::ProximityUnsupported, "prox")),
-                t => return Err(Diagnostic::new(Trouble::UnsupportedOperator, t.number().to_string())),
+                t if t == Tag::ctx(3) => {
+                    return Err(Diagnostic::new(Condition::ProximityUnsupported, "prox"));
+                }
+                t => return Err(Diagnostic::new(Condition::UnsupportedOperator, t.number().to_string())),
             };
             let left = structure_of(left, stored, depth + 1)?;
             Ok(Search::join(op, left, structure_of(right, stored, depth + 1)?))
@@ -71,9 +73,9 @@
         _ => None,
     };
     let text =
-        text.ok_or_else(|| Diagnostic::new(Trouble::MalformedTerm, "a kind of term that is not read"))?;
+        text.ok_or_else(|| Diagnostic::new(Condition::MalformedTerm, "a kind of term that is not read"))?;
     if text.trim().is_empty() {
-        return Err(Diagnostic::new(Trouble::EmptyTerm, ""));
+        return Err(Diagnostic::new(Condition::EmptyTerm, ""));
     }
     let mut c = Clause::new(1016, text);
     for attribute in attributes.values() {
@@ -84,39 +86,41 @@
             attribute.get(120).and_then(Element::as_integer).ok_or_else(|| malformed("no attribute type"))?;
         let value = attribute.get(121).and_then(Element::as_integer);
         let value =
-            value.ok_or_else(|| Diagnostic::new(Trouble::UnsupportedAttributeType, "a complex value"))?;
-        let refuse = |trouble| Diagnostic::new(trouble, value.to_string());
+            value.ok_or_else(|| Diagnostic::new(Condition::UnsupportedAttributeType, "a complex value"))?;
+        let refuse = |condition| Diagnostic::new(condition, value.to_string());
         match (kind, value) {
-            (1, n) => c.access = u16::try_from(n).map_err(|_| refuse(Trouble::UnsupportedIndex))?,
+            (1, n) => c.access = u16::try_from(n).map_err(|_| refuse(Condition::UnsupportedIndex))?,
             (2, 1) => c.relation = Relation::Less,
             (2, 2) => c.relation = Relation::LessOrEqual,
             (2, 3) => c.relation = Relation::Equal,
             (2, 4) => c.relation = Relation::GreaterOrEqual,
             (2, 5) => c.relation = Relation::Greater,
             (2, 6) => c.relation = Relation::NotEqual,
-            (2, _) => return Err(refuse(Trouble::UnsupportedRelation)),
+            (2, _) => return Err(refuse(Condition::UnsupportedRelation)),
             (3, 1 | 2) => c.first_in_field = true,
             (3, 3) => {}
-            (3, _) => return Err(refuse(Trouble::AnchorUnsupported)),
+            (3, _) => return Err(refuse(Condition::AnchorUnsupported)),
             (4, 1) => c.structure = Structure::Phrase,
             (4, 2) => c.structure = Structure::Word,
             (4, 6) => c.structure = Structure::WordList,
             // Key, year, dates, numbers and local strings stand as they are written.
             (4, 3 | 4 | 5 | 100 | 104 | 107 | 108 | 109) => {}
-            (4, _) => return Err(refuse(Trouble::UnsupportedStructure)),
+            (4, _) => return Err(refuse(Condition::UnsupportedStructure)),
             (5, 1) => c.truncation = Truncation::Right,
             (5, 2) => c.truncation = Truncation::Left,
             (5, 3) => c.truncation = Truncation::Both,
             (5, 100) => c.truncation = Truncation::None,
-            (5, _) => return Err(refuse(Trouble::MaskingUnsupported)),
+            (5, _) => return Err(refuse(Condition::MaskingUnsupported)),
             (6, 1 | 2) => {}
             (6, 3) => c.complete_field = true,
-            (6, _) => return Err(refuse(Trouble::UnsupportedStructure)),
-            (other, _) => return Err(Diagnostic::new(Trouble::UnsupportedAttributeType, other.to_string())),
+            (6, _) => return Err(refuse(Condition::UnsupportedStructure)),
+            (other, _) => {
+                return Err(Diagnostic::new(Condition::UnsupportedAttributeType, other.to_string()));
+            }
         }
     }
     if index_of(c.access).is_none() {
-        return Err(Diagnostic::new(Trouble::UnsupportedIndex, c.access.to_string()));
+        return Err(Diagnostic::new(Condition::UnsupportedIndex, c.access.to_string()));
     }
     if c.complete_field {
         (c.first_in_field, c.structure) = (true, Structure::Phrase);
--- a/src/frontends/catalogue/session.rs
+++ b/src/frontends/catalogue/session.rs
@@ -1,7 +1,7 @@
 //! A Z39.50 session: what its client may ask for, its result sets, and the answers.
 
 use super::apdu::*;
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::job::{Job, Outcome, Shape};
 use super::marc::Record;
 use super::plan::Counts;
@@ -155,37 +155,37 @@
         r: &SearchRequest,
         catalogue: &impl Catalogue,
     ) -> Result<(Shape, Nanos, Syntax), Diagnostic> {
-        let fail = |trouble, details: &str| Err(Diagnostic::new(trouble, details));
+        let fail = |condition, details: &str| Err(Diagnostic::new(condition, details));
         let [database] = &r.databases[..] else {
-            return fail(Trouble::TooManyDatabases, &r.databases.len().to_string());
+            return fail(Condition::TooManyDatabases, &r.databases.len().to_string());
         };
         let known = self.sets.contains_key(&r.result_set);
         if known && !r.replace {
-            return fail(Trouble::ResultSetExists, &r.result_set);
+            return fail(Condition::ResultSetExists, &r.result_set);
         }
         if r.result_set.len() > LONGEST_NAME || (!known && self.sets.len() >= catalogue.most_sets()) {
-            return fail(Trouble::TooManyResultSets, &catalogue.most_sets().to_string());
+            return fail(Condition::TooManyResultSets, &catalogue.most_sets().to_string());
         }
         let syntax = syntax(&r.syntax)?;
         let stored = |name: &str| self.sets.get(name).map(|s| s.shape.search.as_ref().clone());
         let search = match &r.query {
             Query::Rpn(content) => rpn::read(content, &stored)?,
             Query::Cql(text) => cql::parse(text)?,
-            Query::Other(tag) => return fail(Trouble::UnsupportedQueryType, &tag.to_string()),
+            Query::Other(tag) => return fail(Condition::UnsupportedQueryType, &tag.to_string()),
         };
         let (shape, wait) = catalogue.shape(database, search)?;
         Ok((shape, wait, syntax))
     }
 
     fn present(&mut self, r: PresentRequest, now: Nanos, catalogue: &impl Catalogue) -> Reply {
-        let fail = |trouble, details: String| {
-            Reply::Send(self.write(present_failed(r.reference.clone(), Diagnostic::new(trouble, details))))
+        let fail = |condition, details: String| {
+            Reply::Send(self.write(present_failed(r.reference.clone(), Diagnostic::new(condition, details))))
         };
         let Some(set) = self.sets.get(&r.result_set) else {
-            return fail(Trouble::NoSuchResultSet, r.result_set);
+            return fail(Condition::NoSuchResultSet, r.result_set);
         };
         if r.complex {
-            return fail(Trouble::UnsupportedOperation, "ranges or a complex composition".into());
+            return fail(Condition::UnsupportedOperation, "ranges or a complex composition".into());
         }
         let syntax = match syntax(&r.syntax) {
             Ok(syntax) => syntax,
@@ -194,7 +194,7 @@
         let total = set.counts.total();
         let (start, number) = (u64::try_from(r.start).unwrap_or(0), u64::try_from(r.number).unwrap_or(0));
         if start == 0 || start > total || number > total - start + 1 {
-            return fail(Trouble::FirstPositionOutOfRange, format!("{start} and {number} of {total}"));
+            return fail(Condition::FirstPositionOutOfRange, format!("{start} and {number} of {total}"));
         }
         if number == 0 {
             let records = Records::None;
@@ -279,7 +279,7 @@
         for item in items {
             let mut r = retrieved(item, syntax);
             if r.size() > self.largest_record {
-                r = Retrieved::Diagnostic(Diagnostic::new(Trouble::RecordTooLarge, r.size().to_string()));
+                r = Retrieved::Diagnostic(Diagnostic::new(Condition::RecordTooLarge, r.size().to_string()));
             }
             if !out.is_empty() && size + r.size() > self.message {
                 return (Records::Some(out), true);
@@ -295,7 +295,7 @@
     match oid.as_deref() {
         None | Some(USMARC) => Ok(Syntax::Marc),
         Some(XML) => Ok(Syntax::Xml),
-        Some(other) => Err(Diagnostic::new(Trouble::UnknownSchema, other)),
+        Some(other) => Err(Diagnostic::new(Condition::UnknownSchema, other)),
     }
 }
 
@@ -307,7 +307,7 @@
     match item {
         Item::Diagnostic(d) => Retrieved::Diagnostic(d),
         Item::Record(r) => written(&r).unwrap_or_else(|e| {
-            Retrieved::Diagnostic(Diagnostic::new(Trouble::RecordNotInSchema, e.to_string()))
+            Retrieved::Diagnostic(Diagnostic::new(Condition::RecordNotInSchema, e.to_string()))
         }),
     }
 }
--- a/src/frontends/catalogue/sru.rs
+++ b/src/frontends/catalogue/sru.rs
@@ -1,6 +1,6 @@
 //! SRU 1.1 and 1.2: requests and responses, for both roles.
 
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::marc::{MARCXML, Record, escape, unescape};
 use super::search::{CONTEXT_SETS, indexes};
 use quick_xml::events::{BytesStart, Event};
@@ -92,48 +92,48 @@
     if get("operation").is_none() && get("query").is_none() && get("version").is_none() {
         return Ok(Request::Explain { version: "1.2", packing: Packing::Xml });
     }
-    let fail = |trouble, details: &str, version| Err((Diagnostic::new(trouble, details), version));
+    let fail = |condition, details: &str, version| Err((Diagnostic::new(condition, details), version));
     let version = match get("version") {
         Some("1.1") => "1.1",
         Some("1.2") => "1.2",
-        Some(_) => return fail(Trouble::UnsupportedVersion, "1.2", "1.2"),
-        None => return fail(Trouble::MissingParameter, "version", "1.2"),
+        Some(_) => return fail(Condition::UnsupportedVersion, "1.2", "1.2"),
+        None => return fail(Condition::MissingParameter, "version", "1.2"),
     };
     let packing = match get("recordPacking") {
         None | Some("xml") => Packing::Xml,
         Some("string") => Packing::String,
-        Some(other) => return fail(Trouble::UnsupportedPacking, other, version),
+        Some(other) => return fail(Condition::UnsupportedPacking, other, version),
     };
     match get("operation") {
         Some("explain") => return Ok(Request::Explain { version, packing }),
         Some("searchRetrieve") => {}
-        Some(other) => return fail(Trouble::UnsupportedOperation, other, version),
-        None => return fail(Trouble::MissingParameter, "operation", version),
+        Some(other) => return fail(Condition::UnsupportedOperation, other, version),
+        None => return fail(Condition::MissingParameter, "operation", version),
     }
     for (name, value) in parameters {
         match name.as_str() {
             "version" | "operation" | "query" | "startRecord" | "maximumRecords" | "recordPacking"
             | "recordSchema" | "resultSetTTL" | "stylesheet" | "extraRequestData" => {}
             "sortKeys" if value.is_empty() => {}
-            "sortKeys" => return fail(Trouble::UnsupportedSort, value, version),
+            "sortKeys" => return fail(Condition::UnsupportedSort, value, version),
             name if name.starts_with("x-") => {}
-            other => return fail(Trouble::UnsupportedParameter, other, version),
+            other => return fail(Condition::UnsupportedParameter, other, version),
         }
     }
     if let Some(schema) = get("recordSchema").filter(|s| !s.is_empty())
         && !SCHEMA_NAMES.contains(&schema)
     {
-        return fail(Trouble::UnknownSchema, schema, version);
+        return fail(Condition::UnknownSchema, schema, version);
     }
     let number = |name: &'static str, least: u64| match get(name) {
         None => Ok(None),
         Some(text) => match text.parse::<u64>() {
             Ok(n) if n >= least => Ok(Some(n)),
-            _ => Err((Diagnostic::new(Trouble::UnsupportedParameterValue, name), version)),
+            _ => Err((Diagnostic::new(Condition::UnsupportedParameterValue, name), version)),
         },
     };
     let (start, maximum) = (number("startRecord", 1)?.unwrap_or(1), number("maximumRecords", 0)?);
-    let Some(query) = get("query") else { return fail(Trouble::MissingParameter, "query", version) };
+    let Some(query) = get("query") else { return fail(Condition::MissingParameter, "query", version) };
     Ok(Request::Search(SearchRetrieve { version, query: query.to_owned(), start, maximum, packing }))
 }
 
@@ -282,7 +282,7 @@
                 out.items.push(if schema.trim() == DIAGNOSTIC_SCHEMA {
                     Item::Diagnostic(read_diagnostic(&data)?)
                 } else {
-                    let why = |e| Diagnostic::new(Trouble::RecordUnavailable, format!("{e}"));
+                    let why = |e| Diagnostic::new(Condition::RecordUnavailable, format!("{e}"));
                     Record::from_marcxml(&data).map_or_else(|e| Item::Diagnostic(why(e)), Item::Record)
                 });
             }
--- a/tests/fronts/clients.rs
+++ b/tests/fronts/clients.rs
@@ -2,7 +2,7 @@
 
 use pebbleturn::config::{OperatorConfig, PlatformConfig};
 use pebbleturn::frontends::catalogue::apdu::*;
-use pebbleturn::frontends::catalogue::diagnostic::Trouble;
+use pebbleturn::frontends::catalogue::diagnostic::Condition;
 use pebbleturn::frontends::catalogue::marc::{Field, Record};
 use pebbleturn::frontends::catalogue::search::{Clause, Search};
 use pebbleturn::frontends::catalogue::{rpn, sru};
@@ -252,12 +252,12 @@
         };
         assert_eq!(r.reference, Some(self.asked.to_be_bytes().into()));
         let partial = match r.records {
-            Records::Diagnostic(d) => match d.trouble {
-                Trouble::TemporarilyUnavailable => {
+            Records::Diagnostic(d) => match d.condition {
+                Condition::TemporarilyUnavailable => {
                     return Reply::Refused { told_wait: d.details.contains("after") };
                 }
-                Trouble::OutOfTime => return Reply::Failed,
-                Trouble::PartialResult if r.set_status == Some(1) => true,
+                Condition::OutOfTime => return Reply::Failed,
+                Condition::PartialResult if r.set_status == Some(1) => true,
                 _ => return Reply::Bad,
             },
             _ => false,
@@ -339,9 +339,9 @@
         _ => return Reply::Bad,
     }
     let r = sru::read_response(body.as_bytes()).unwrap();
-    let partial = match r.diagnostics.first().map(|d| d.trouble) {
+    let partial = match r.diagnostics.first().map(|d| d.condition) {
         None => false,
-        Some(Trouble::PartialResult) => true,
+        Some(Condition::PartialResult) => true,
         Some(_) => return Reply::Bad,
     };
     let record = |i: sru::Item| match i {
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use pebbleturn::frontends::catalogue::apdu::*;
 use pebbleturn::frontends::catalogue::ber::{self, Element};
-use pebbleturn::frontends::catalogue::diagnostic::{Diagnostic, Trouble};
+use pebbleturn::frontends::catalogue::diagnostic::{Condition, Diagnostic};
 use pebbleturn::frontends::catalogue::marc::{Field, Record};
 use pebbleturn::frontends::catalogue::search::*;
 use pebbleturn::frontends::catalogue::{cql, rpn, sru};
@@ -241,7 +241,7 @@
 
 #[test]
 fn apdus_survive_and_tell_where_they_end() {
-    let d = || Diagnostic::new(Trouble::UnsupportedIndex, "99");
+    let d = || Diagnostic::new(Condition::UnsupportedIndex, "99");
     let reference = Some(vec![1, 2]);
     let search = Search::Clause(Clause::new(4, "raga"));
     let found =
@@ -315,7 +315,7 @@
 
 #[test]
 fn a_diagnostic_s_words_are_what_each_version_reads() {
-    let d = Diagnostic::new(Trouble::UnsupportedIndex, "9\u{e9}");
+    let d = Diagnostic::new(Condition::UnsupportedIndex, "9\u{e9}");
     let records = Records::Diagnostic(d);
     let apdu = Apdu::PresentResponse(PresentResponse { reference: None, next: 0, status: 5, records });
     let has = |bytes: Vec<u8>, words: &[u8]| bytes.windows(words.len()).any(|w| w == words);
@@ -349,9 +349,9 @@
 #[test]
 fn sru_responses_survive_in_both_packings() {
     use sru::{Item, Packing, Response};
-    let d = Diagnostic::new(Trouble::PartialResult, "2 of 3 <parts>");
+    let d = Diagnostic::new(Condition::PartialResult, "2 of 3 <parts>");
     let items =
-        vec![Item::Record(record()), Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, "x"))];
+        vec![Item::Record(record()), Item::Diagnostic(Diagnostic::new(Condition::RecordUnavailable, "x"))];
     let r = Response { total: 12, items, next: Some(3), diagnostics: vec![d] };
     for packing in [Packing::Xml, Packing::String] {
         let bytes = sru::write(&r, "1.1", packing, 1);
