--- a/src/frontends/catalogue/diagnostic.rs
+++ b/src/frontends/catalogue/diagnostic.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether the server failed and not the search, so that another replica may succeed.
-    pub fn is_of_server(&self) -> bool {
+    pub fn is_server_failure(&self) -> bool {
         matches!(
             self.condition,
             Condition::GeneralError | Condition::TemporarilyUnavailable | Condition::OutOfTime
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -225,7 +225,7 @@
         Condition::TemporarilyUnavailable => Err(Outcome::Rejected),
         // Half of a partition is not that partition's answer; another replica may have all of it.
         Condition::PartialResult => Err(Outcome::Error),
-        _ if d.is_of_server() => Err(Outcome::Error),
+        _ if d.is_server_failure() => Err(Outcome::Error),
         _ => Ok(Err(d)),
     })
 }
