--- a/src/frontends/catalogue/apdu.rs
+++ b/src/frontends/catalogue/apdu.rs
@@ -1,6 +1,6 @@
 //! Z39.50 version 3 APDUs that a catalogue needs, for both roles.
 
-use super::ber::{BerError, Element, Inner};
+use super::ber::{BerError, Element, ElementContent};
 use super::diagnostic::Diagnostic;
 use bcder::Tag;
 
@@ -187,7 +187,7 @@
     let set = Element::oid(Tag::OID, BIB1_DIAGNOSTICS);
     let number = Element::integer(Tag::INTEGER, d.bib1().into());
     let words = Element::bytes(Tag::GENERAL_STRING, d.details.as_bytes());
-    Element::of(tag, vec![set, number, words])
+    Element::constructed(tag, vec![set, number, words])
 }
 
 fn read_diagnostic(e: &Element) -> Diagnostic {
@@ -205,7 +205,7 @@
         match self {
             Records::None => {}
             Records::Some(records) => {
-                out.push(Element::of(Tag::ctx(28), records.iter().map(Retrieved::write).collect()));
+                out.push(Element::constructed(Tag::ctx(28), records.iter().map(Retrieved::write).collect()));
             }
             Records::Diagnostic(d) => out.push(diagnostic(Tag::ctx(130), d)),
         }
@@ -240,11 +240,14 @@
             Retrieved::Record { syntax, bytes } => {
                 let oid = Element::oid(Tag::OID, syntax);
                 let octets = Element::bytes(Tag::ctx(1), bytes.clone());
-                Element::of(Tag::ctx(1), vec![Element::of(Tag::EXTERNAL, vec![oid, octets])])
+                Element::constructed(
+                    Tag::ctx(1),
+                    vec![Element::constructed(Tag::EXTERNAL, vec![oid, octets])],
+                )
             }
-            Retrieved::Diagnostic(d) => Element::of(Tag::ctx(2), vec![diagnostic(Tag::SEQUENCE, d)]),
+            Retrieved::Diagnostic(d) => Element::constructed(Tag::ctx(2), vec![diagnostic(Tag::SEQUENCE, d)]),
         };
-        Element::of(Tag::SEQUENCE, vec![Element::of(Tag::ctx(1), vec![inner])])
+        Element::constructed(Tag::SEQUENCE, vec![Element::constructed(Tag::ctx(1), vec![inner])])
     }
 
     fn read(e: &Element) -> Result<Retrieved, BerError> {
@@ -300,7 +303,7 @@
                 out.push(int(32, if sets.is_some() { 0 } else { 1 }));
                 if let Some(sets) = sets {
                     // The tag of the sequence is that of its type; each name has the tag of its own.
-                    out.push(Element::of(Tag::SEQUENCE, sets.iter().map(|s| text(31, s)).collect()));
+                    out.push(Element::constructed(Tag::SEQUENCE, sets.iter().map(|s| text(31, s)).collect()));
                 }
                 (26, out)
             }
@@ -316,7 +319,7 @@
             }
             Apdu::Other { reference: r, tag } => (*tag, reference(r)),
         };
-        Element::of(Tag::ctx(tag), body)
+        Element::constructed(Tag::ctx(tag), body)
     }
 
     /// Reads one whole APDU.
@@ -398,35 +401,35 @@
         let answer = match tag {
             // Scan: status 6 is failure.
             35 => {
-                let why = Element::of(Tag::ctx(2), vec![record]);
-                out.extend([int(4, 6), int(5, 0), Element::of(Tag::ctx(7), vec![why])]);
+                let why = Element::constructed(Tag::ctx(2), vec![record]);
+                out.extend([int(4, 6), int(5, 0), Element::constructed(Tag::ctx(7), vec![why])]);
                 36
             }
             // Sort: status 2 is failure.
             43 => {
-                out.extend([int(3, 2), Element::of(Tag::ctx(5), vec![record])]);
+                out.extend([int(3, 2), Element::constructed(Tag::ctx(5), vec![record])]);
                 44
             }
             // Extended services: status 3 is failure.
             46 => {
-                out.extend([int(3, 3), Element::of(Tag::ctx(4), vec![record])]);
+                out.extend([int(3, 3), Element::constructed(Tag::ctx(4), vec![record])]);
                 47
             }
             _ => return None,
         };
-        Some(Element::of(Tag::ctx(answer), out).encode())
+        Some(Element::constructed(Tag::ctx(answer), out).encode())
     }
 }
 
 /// Makes the words of diagnostics what version 2 reads; nothing else here is a GeneralString.
 fn visible(e: &mut Element) {
     match &mut e.content {
-        Inner::Values(values) => values.iter_mut().for_each(visible),
-        Inner::Bytes(bytes) if e.tag == Tag::GENERAL_STRING => {
+        ElementContent::Constructed(values) => values.iter_mut().for_each(visible),
+        ElementContent::Primitive(bytes) if e.tag == Tag::GENERAL_STRING => {
             e.tag = Tag::VISIBLE_STRING;
             bytes.iter_mut().filter(|b| !(0x20..0x7f).contains(*b)).for_each(|b| *b = b'?');
         }
-        Inner::Bytes(_) => {}
+        ElementContent::Primitive(_) => {}
     }
 }
 
@@ -445,7 +448,7 @@
 }
 
 fn element_set(tag: u32, name: &Option<String>) -> Option<Element> {
-    name.as_ref().map(|n| Element::of(Tag::ctx(tag), vec![text(0, n)]))
+    name.as_ref().map(|n| Element::constructed(Tag::ctx(tag), vec![text(0, n)]))
 }
 
 impl SearchRequest {
@@ -453,21 +456,23 @@
         let mut out = reference(&self.reference);
         out.extend([int(13, self.small_upper), int(14, self.large_lower), int(15, self.medium_number)]);
         out.extend([Element::boolean(Tag::ctx(16), self.replace), text(17, &self.result_set)]);
-        out.push(Element::of(Tag::ctx(18), self.databases.iter().map(|d| text(105, d)).collect()));
+        out.push(Element::constructed(Tag::ctx(18), self.databases.iter().map(|d| text(105, d)).collect()));
         out.extend(element_set(100, &self.element_set));
         out.extend(element_set(101, &self.element_set));
         out.extend(self.syntax.as_ref().map(|s| Element::oid(Tag::ctx(104), s)));
         let query = match &self.query {
-            Query::Rpn(content) => Element::of(Tag::ctx(1), content.clone()),
+            Query::Rpn(content) => Element::constructed(Tag::ctx(1), content.clone()),
             Query::Cql(cql) => {
                 let oid = Element::oid(Tag::OID, CQL);
-                let words =
-                    Element::of(Tag::ctx(0), vec![Element::bytes(Tag::GENERAL_STRING, cql.as_bytes())]);
-                Element::of(Tag::ctx(104), vec![oid, words])
+                let words = Element::constructed(
+                    Tag::ctx(0),
+                    vec![Element::bytes(Tag::GENERAL_STRING, cql.as_bytes())],
+                );
+                Element::constructed(Tag::ctx(104), vec![oid, words])
             }
             Query::Other(tag) => Element::bytes(Tag::ctx(*tag), []),
         };
-        out.push(Element::of(Tag::ctx(21), vec![query]));
+        out.push(Element::constructed(Tag::ctx(21), vec![query]));
         out
     }
 
--- a/src/frontends/catalogue/ber.rs
+++ b/src/frontends/catalogue/ber.rs
@@ -30,27 +30,27 @@
     /// Its tag.
     pub tag: Tag,
     /// Its content.
-    pub content: Inner,
+    pub content: ElementContent,
 }
 
 /// The content of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Inner {
+pub enum ElementContent {
     /// Bytes.
-    Bytes(Vec<u8>),
+    Primitive(Vec<u8>),
     /// Values.
-    Values(Vec<Element>),
+    Constructed(Vec<Element>),
 }
 
 impl Element {
     /// A value of bytes.
     pub fn bytes(tag: Tag, bytes: impl Into<Vec<u8>>) -> Element {
-        Element { tag, content: Inner::Bytes(bytes.into()) }
+        Element { tag, content: ElementContent::Primitive(bytes.into()) }
     }
 
     /// A value of values.
-    pub fn of(tag: Tag, values: Vec<Element>) -> Element {
-        Element { tag, content: Inner::Values(values) }
+    pub fn constructed(tag: Tag, values: Vec<Element>) -> Element {
+        Element { tag, content: ElementContent::Constructed(values) }
     }
 
     /// An integer, in the fewest bytes.
@@ -87,8 +87,8 @@
     /// The bytes; those of a string cut in pieces are put together.
     pub fn as_bytes(&self) -> Vec<u8> {
         match &self.content {
-            Inner::Bytes(b) => b.clone(),
-            Inner::Values(v) => v.iter().flat_map(Element::as_bytes).collect(),
+            ElementContent::Primitive(b) => b.clone(),
+            ElementContent::Constructed(v) => v.iter().flat_map(Element::as_bytes).collect(),
         }
     }
 
@@ -99,7 +99,7 @@
 
     /// An integer; none where it is too large.
     pub fn as_integer(&self) -> Option<i64> {
-        let Inner::Bytes(b) = &self.content else { return None };
+        let ElementContent::Primitive(b) = &self.content else { return None };
         let first = *b.first()?;
         let start = if first & 0x80 != 0 { -1 } else { 0 };
         (b.len() <= 8).then(|| b.iter().fold(start, |n: i64, b| n << 8 | i64::from(*b)))
@@ -108,14 +108,14 @@
     /// A truth value.
     pub fn as_boolean(&self) -> Option<bool> {
         match &self.content {
-            Inner::Bytes(b) if b.len() == 1 => Some(b[0] != 0),
+            ElementContent::Primitive(b) if b.len() == 1 => Some(b[0] != 0),
             _ => None,
         }
     }
 
     /// An object identifier in dotted form.
     pub fn as_oid(&self) -> Option<String> {
-        let Inner::Bytes(b) = &self.content else { return None };
+        let ElementContent::Primitive(b) = &self.content else { return None };
         let mut arcs: Vec<u32> = Vec::new();
         let mut arc: u32 = 0;
         for byte in b {
@@ -137,8 +137,8 @@
     /// The values within; none for bytes.
     pub fn values(&self) -> &[Element] {
         match &self.content {
-            Inner::Values(v) => v,
-            Inner::Bytes(_) => &[],
+            ElementContent::Constructed(v) => v,
+            ElementContent::Primitive(_) => &[],
         }
     }
 
@@ -171,14 +171,14 @@
 ) -> Result<Option<Element>, DecodeError<S::Error>> {
     cons.take_opt_value(|tag, content| {
         let content = match content {
-            Content::Primitive(p) => Inner::Bytes(p.take_all()?.to_vec()),
+            Content::Primitive(p) => ElementContent::Primitive(p.take_all()?.to_vec()),
             Content::Constructed(_) if depth >= DEEPEST => return Err(content.content_err("too deep")),
             Content::Constructed(inner) => {
                 let mut values = Vec::new();
                 while let Some(e) = take(inner, depth + 1)? {
                     values.push(e);
                 }
-                Inner::Values(values)
+                ElementContent::Constructed(values)
             }
         };
         Ok(Element { tag, content })
@@ -188,18 +188,18 @@
 impl Values for Element {
     fn encoded_len(&self, mode: Mode) -> usize {
         match &self.content {
-            Inner::Bytes(b) => bcder::encode::total_encoded_len(self.tag, b.len()),
-            Inner::Values(v) => bcder::encode::total_encoded_len(self.tag, v.encoded_len(mode)),
+            ElementContent::Primitive(b) => bcder::encode::total_encoded_len(self.tag, b.len()),
+            ElementContent::Constructed(v) => bcder::encode::total_encoded_len(self.tag, v.encoded_len(mode)),
         }
     }
 
     fn write_encoded<W: io::Write>(&self, mode: Mode, target: &mut W) -> Result<(), io::Error> {
         match &self.content {
-            Inner::Bytes(b) => {
+            ElementContent::Primitive(b) => {
                 bcder::encode::write_header(target, self.tag, false, b.len())?;
                 target.write_all(b)
             }
-            Inner::Values(v) => {
+            ElementContent::Constructed(v) => {
                 bcder::encode::write_header(target, self.tag, true, v.encoded_len(mode))?;
                 v.write_encoded(mode, target)
             }
--- a/src/frontends/catalogue/rpn.rs
+++ b/src/frontends/catalogue/rpn.rs
@@ -135,15 +135,15 @@
 
 fn structure(search: &Search) -> Element {
     match search {
-        Search::Clause(c) => Element::of(Tag::ctx(0), vec![operand(c)]),
+        Search::Clause(c) => Element::constructed(Tag::ctx(0), vec![operand(c)]),
         Search::Both(operator, l, r) => {
             let number = match operator {
                 Operator::And => 0,
                 Operator::Or => 1,
                 Operator::AndNot => 2,
             };
-            let op = Element::of(Tag::ctx(46), vec![Element::bytes(Tag::ctx(number), [])]);
-            Element::of(Tag::ctx(1), vec![structure(l), structure(r), op])
+            let op = Element::constructed(Tag::ctx(46), vec![Element::bytes(Tag::ctx(number), [])]);
+            Element::constructed(Tag::ctx(1), vec![structure(l), structure(r), op])
         }
     }
 }
@@ -179,11 +179,11 @@
         (6, completeness),
     ];
     let attributes = pairs.map(|(kind, value)| {
-        Element::of(
+        Element::constructed(
             Tag::SEQUENCE,
             vec![Element::integer(Tag::ctx(120), kind), Element::integer(Tag::ctx(121), value)],
         )
     });
-    let list = Element::of(Tag::ctx(44), attributes.into());
-    Element::of(Tag::ctx(102), vec![list, Element::bytes(Tag::ctx(45), c.term.as_bytes())])
+    let list = Element::constructed(Tag::ctx(44), attributes.into());
+    Element::constructed(Tag::ctx(102), vec![list, Element::bytes(Tag::ctx(45), c.term.as_bytes())])
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -76,7 +76,7 @@
 fn garbage_breaks_no_parser() {
     check(2, |(bytes, cut): (Vec<u8>, usize)| {
         // Valid starts lead garbage further in.
-        let apdu = Element::of(bcder::Tag::ctx(22), vec![]).encode();
+        let apdu = Element::constructed(bcder::Tag::ctx(22), vec![]).encode();
         for start in
             [&b""[..], b"\0\0\0\x20Y", &REQUESTS[..cut % REQUESTS.len()], &apdu, b"<searchRetrieveResponse>"]
         {
