--- a/src/frontends/catalogue/apdu.rs
+++ b/src/frontends/catalogue/apdu.rs
@@ -156,7 +156,7 @@
     Close {
         reference: Reference,
         reason: i64,
-        words: String,
+        diagnostic_information: String,
     },
     /// Another APDU, by its tag.
     Other {
@@ -312,9 +312,9 @@
                 out.push(int(0, *status));
                 (27, out)
             }
-            Apdu::Close { reference: r, reason, words } => {
+            Apdu::Close { reference: r, reason, diagnostic_information } => {
                 let mut out = reference(r);
-                out.extend([int(211, *reason), text(3, words)]);
+                out.extend([int(211, *reason), text(3, diagnostic_information)]);
                 (48, out)
             }
             Apdu::Other { reference: r, tag } => (*tag, reference(r)),
@@ -386,8 +386,8 @@
             }
             27 => Apdu::DeleteResponse { reference, status: need(0, "no status")? },
             48 => {
-                let words = e.get(3).and_then(Element::as_text).unwrap_or_default();
-                Apdu::Close { reference, reason: number(211).unwrap_or(9), words }
+                let diagnostic_information = e.get(3).and_then(Element::as_text).unwrap_or_default();
+                Apdu::Close { reference, reason: number(211).unwrap_or(9), diagnostic_information }
             }
             tag => Apdu::Other { reference, tag },
         })
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -125,7 +125,11 @@
     /// What is to be sent before a connection is closed.
     pub fn farewell(&self) -> Option<Vec<u8>> {
         let words = "idle".into();
-        let close = Apdu::Close { reference: None, reason: CloseReason::Finished as i64, words };
+        let close = Apdu::Close {
+            reference: None,
+            reason: CloseReason::Finished as i64,
+            diagnostic_information: words,
+        };
         matches!(self.speech, Speech::Z3950 { greeted: true }).then(|| close.encode())
     }
 
@@ -307,8 +311,8 @@
             task.take(records.into_iter().map(item).collect());
             Ok(if none || task.wanted() == 0 { task.found() } else { present(task) })
         }
-        Apdu::Close { reason, words, .. } => {
-            Err(Broken(format!("closed by the node, reason {reason} {words:?}")))
+        Apdu::Close { reason, diagnostic_information, .. } => {
+            Err(Broken(format!("closed by the node, reason {reason} {diagnostic_information:?}")))
         }
         _ => Err(unasked()),
     }
--- a/src/frontends/catalogue/session.rs
+++ b/src/frontends/catalogue/session.rs
@@ -80,7 +80,7 @@
 
     /// The message that ends the session.
     pub fn close(reason: CloseReason, words: &str) -> Vec<u8> {
-        Apdu::Close { reference: None, reason: reason as i64, words: words.into() }.encode()
+        Apdu::Close { reference: None, reason: reason as i64, diagnostic_information: words.into() }.encode()
     }
 
     /// Takes a request. No other may be given before its answer is out.
--- a/tests/fronts/protocols.rs
+++ b/tests/fronts/protocols.rs
@@ -143,7 +143,8 @@
     let answer = ask(&mut c, Apdu::Other { reference: None, tag: 30 });
     assert!(matches!(answer, Apdu::Close { reason: 6, .. }));
     let mut other = s.client();
-    let answer = ask(&mut other, Apdu::Close { reference: None, reason: 0, words: String::new() });
+    let answer =
+        ask(&mut other, Apdu::Close { reference: None, reason: 0, diagnostic_information: String::new() });
     assert!(matches!(answer, Apdu::Close { reason: 0, .. }));
     // Before Init, nothing else is taken.
     let mut raw = TcpStream::connect(s.addr).unwrap();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -301,7 +301,7 @@
         }),
         Apdu::DeleteRequest { reference: None, sets: Some(vec!["a".into()]) },
         Apdu::DeleteResponse { reference: None, status: 1 },
-        Apdu::Close { reference: None, reason: 1, words: "draining".into() },
+        Apdu::Close { reference: None, reason: 1, diagnostic_information: "draining".into() },
     ];
     for apdu in all {
         let bytes = apdu.encode();
