--- a/src/frontends/catalogue/apdu.rs
+++ b/src/frontends/catalogue/apdu.rs
@@ -1,38 +1,38 @@
-//! Z39.50 version 3 APDUs that a catalogue needs, for both roles.
+//! The Z39.50 version 3 APDUs of the catalogue frontend, which is a server to clients and a client to nodes.
 
 use super::ber::{BerError, Element, ElementContent};
 use super::diagnostic::Diagnostic;
 use bcder::Tag;
 
-/// Record syntaxes.
+/// Record syntax of MARC 21 in ISO 2709.
 pub const USMARC: &str = "1.2.840.10003.5.10";
-/// MARCXML travels as text in XML.
+/// Record syntax of XML, used for MARCXML.
 pub const XML: &str = "1.2.840.10003.5.109.10";
-/// The diagnostic set Bib-1.
+/// The Bib-1 diagnostic set.
 pub const BIB1_DIAGNOSTICS: &str = "1.2.840.10003.4.1";
-/// CQL as a query of type 104.
+/// CQL in a type-104 query.
 pub const CQL: &str = "1.2.840.10003.16.2";
 
-/// Options that are offered: search, present, delete and named result sets.
+/// Options offered in Init: search, present, delete and named result sets.
 pub const OPTIONS: [u8; 2] = [0b1110_0000, 0b0000_0010];
 /// Protocol versions 1 to 3.
 pub const VERSIONS: [u8; 1] = [0b1110_0000];
 
-/// A requester's own mark, given back with the response.
+/// The `referenceId` of a request, returned unchanged in its response.
 pub type Reference = Option<Vec<u8>>;
 
-/// What a search is written in.
+/// The query of a search, by its type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// The content of an RPNQuery.
+    /// Type 1: the content of an RPNQuery.
     Rpn(Vec<Element>),
-    /// CQL.
+    /// Type 104: CQL.
     Cql(String),
-    /// A kind that is not read, by its tag.
+    /// An unsupported query type, by its tag.
     Other(u32),
 }
 
-/// Init.
+/// Opens a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InitRequest {
     pub reference: Reference,
@@ -42,7 +42,7 @@
     pub largest_record: i64,
 }
 
-/// The answer to Init.
+/// The response to Init.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InitResponse {
     pub reference: Reference,
@@ -53,13 +53,17 @@
     pub accepted: bool,
 }
 
-/// Search.
+/// Runs a query and creates a result set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchRequest {
     pub reference: Reference,
+    /// `smallSetUpperBound`: up to this count, the response contains all records.
     pub small_upper: i64,
+    /// `largeSetLowerBound`: from this count on, the response contains no records.
     pub large_lower: i64,
+    /// `mediumSetPresentNumber`: how many records the response contains for counts in between.
     pub medium_number: i64,
+    /// `replaceIndicator`: whether an existing result set of that name may be replaced.
     pub replace: bool,
     pub result_set: String,
     pub databases: Vec<String>,
@@ -68,20 +72,20 @@
     pub query: Query,
 }
 
-/// The answer to Search.
+/// The response to Search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SearchResponse {
     pub reference: Reference,
     pub count: i64,
     pub next: i64,
     pub success: bool,
-    /// Where it failed: 1 a valid subset, 3 none.
+    /// `resultSetStatus` of a failed search: 1 for a valid subset, 3 for no result set.
     pub set_status: Option<i64>,
     pub present_status: Option<i64>,
     pub records: Records,
 }
 
-/// Present.
+/// Retrieves a range of records of a result set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PresentRequest {
     pub reference: Reference,
@@ -90,11 +94,11 @@
     pub number: i64,
     pub element_set: Option<String>,
     pub syntax: Option<String>,
-    /// It asks for more ranges or a complex composition.
+    /// Whether the request has additional ranges or a complex record composition.
     pub complex: bool,
 }
 
-/// The answer to Present.
+/// The response to Present.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PresentResponse {
     pub reference: Reference,
@@ -103,27 +107,27 @@
     pub records: Records,
 }
 
-/// What comes with an answer.
+/// The records of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Records {
-    /// Nothing.
+    /// No records.
     None,
-    /// Records, or a diagnostic in place of one.
+    /// Records; a diagnostic can take the place of one.
     Some(Vec<Retrieved>),
     /// A diagnostic for the whole request.
     Diagnostic(Diagnostic),
 }
 
-/// One record.
+/// A record, or the diagnostic in its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Retrieved {
-    /// Its syntax and bytes.
+    /// The record, encoded in its record syntax.
     Record { syntax: String, bytes: Vec<u8> },
-    /// Why it is not there.
+    /// Why the record is not available.
     Diagnostic(Diagnostic),
 }
 
-/// Why a session ends.
+/// The reason in a Close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     Finished = 0,
@@ -133,7 +137,7 @@
     LackOfActivity = 7,
 }
 
-/// An APDU.
+/// An application protocol data unit: one message of Z39.50.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Apdu {
     InitRequest(InitRequest),
@@ -142,23 +146,23 @@
     SearchResponse(SearchResponse),
     PresentRequest(PresentRequest),
     PresentResponse(PresentResponse),
-    /// Delete: all sets, or those named.
+    /// Deletes the named result sets, or all if `sets` is `None`.
     DeleteRequest {
         reference: Reference,
         sets: Option<Vec<String>>,
     },
-    /// The answer to Delete: 0 is success, 1 a set that is not there.
+    /// The response to Delete. Status 0 is success, 1 a result set that does not exist.
     DeleteResponse {
         reference: Reference,
         status: i64,
     },
-    /// The end of a session.
+    /// Ends a session.
     Close {
         reference: Reference,
         reason: i64,
         diagnostic_information: String,
     },
-    /// Another APDU, by its tag.
+    /// Any other APDU, by its tag.
     Other {
         reference: Reference,
         tag: u32,
@@ -169,7 +173,8 @@
     r.iter().map(|bytes| Element::bytes(Tag::ctx(2), bytes.clone())).collect()
 }
 
-fn bits(tag: u32, bytes: &[u8]) -> Element {
+fn bit_string(tag: u32, bytes: &[u8]) -> Element {
+    // The first byte is the number of unused bits in the last byte.
     let mut content = vec![0];
     content.extend_from_slice(bytes);
     Element::bytes(Tag::ctx(tag), content)
@@ -186,15 +191,15 @@
 fn diagnostic(tag: Tag, d: &Diagnostic) -> Element {
     let set = Element::oid(Tag::OID, BIB1_DIAGNOSTICS);
     let number = Element::integer(Tag::INTEGER, d.bib1().into());
-    let words = Element::bytes(Tag::GENERAL_STRING, d.details.as_bytes());
-    Element::constructed(tag, vec![set, number, words])
+    let details = Element::bytes(Tag::GENERAL_STRING, d.details.as_bytes());
+    Element::constructed(tag, vec![set, number, details])
 }
 
 fn read_diagnostic(e: &Element) -> Diagnostic {
     match e.values() {
-        [_, number, words, ..] => {
+        [_, number, details, ..] => {
             let number = number.as_integer().and_then(|n| u16::try_from(n).ok()).unwrap_or(0);
-            Diagnostic::from_bib1(number, &words.as_text().unwrap_or_default())
+            Diagnostic::from_bib1(number, &details.as_text().unwrap_or_default())
         }
         _ => Diagnostic::from_bib1(0, "a diagnostic in a form that is not read"),
     }
@@ -223,12 +228,11 @@
         list.values().iter().map(Retrieved::read).collect::<Result<_, _>>().map(Records::Some)
     }
 
-    /// How many there are.
+    /// The number of records, including diagnostics in place of a record.
     pub fn len(&self) -> usize {
         if let Records::Some(r) = self { r.len() } else { 0 }
     }
 
-    /// There are none.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -263,7 +267,7 @@
         Ok(Retrieved::Record { syntax, bytes: octets.as_bytes() })
     }
 
-    /// About how many bytes it takes on the wire.
+    /// Approximate size on the wire, in bytes.
     pub fn size(&self) -> usize {
         match self {
             Retrieved::Record { bytes, .. } => bytes.len() + 64,
@@ -273,15 +277,15 @@
 }
 
 impl Apdu {
-    /// Writes the APDU as version 3 has it.
+    /// Encodes the APDU for a version 3 session.
     pub fn encode(&self) -> Vec<u8> {
         self.element().encode()
     }
 
-    /// Writes the APDU for a session of version 2, where a diagnostic's words are a VisibleString.
+    /// Encodes the APDU for a version 2 session, where the details of a diagnostic are a VisibleString.
     pub fn encode_v2(&self) -> Vec<u8> {
         let mut element = self.element();
-        visible(&mut element);
+        use_visible_strings(&mut element);
         element.encode()
     }
 
@@ -302,7 +306,7 @@
                 let mut out = reference(r);
                 out.push(int(32, if sets.is_some() { 0 } else { 1 }));
                 if let Some(sets) = sets {
-                    // The tag of the sequence is that of its type; each name has the tag of its own.
+                    // The list has no context tag, only that of a SEQUENCE; each name has context tag 31.
                     out.push(Element::constructed(Tag::SEQUENCE, sets.iter().map(|s| text(31, s)).collect()));
                 }
                 (26, out)
@@ -322,7 +326,7 @@
         Element::constructed(Tag::ctx(tag), body)
     }
 
-    /// Reads one whole APDU.
+    /// Decodes exactly one APDU.
     pub fn decode(bytes: &[u8]) -> Result<Apdu, BerError> {
         let e = Element::decode(bytes)?;
         if !e.tag.is_context_specific() {
@@ -330,22 +334,22 @@
         }
         let reference = e.get(2).map(Element::as_bytes);
         let number = |tag: u32| e.get(tag).and_then(Element::as_integer);
-        let need = |tag: u32, what| number(tag).ok_or(BerError(what));
-        let bits = |tag: u32| {
+        let required = |tag: u32, error| number(tag).ok_or(BerError(error));
+        let bit_string = |tag: u32| {
             e.get(tag).map(|b| b.as_bytes().into_iter().skip(1).collect::<Vec<u8>>()).unwrap_or_default()
         };
         Ok(match e.tag.number() {
             20 => Apdu::InitRequest(InitRequest {
                 reference,
-                versions: bits(3),
-                options: bits(4),
-                preferred_size: need(5, "Init without a message size")?,
-                largest_record: need(6, "Init without a record size")?,
+                versions: bit_string(3),
+                options: bit_string(4),
+                preferred_size: required(5, "Init without a message size")?,
+                largest_record: required(6, "Init without a record size")?,
             }),
             21 => Apdu::InitResponse(InitResponse {
                 reference,
-                versions: bits(3),
-                options: bits(4),
+                versions: bit_string(3),
+                options: bit_string(4),
                 preferred_size: number(5).unwrap_or(0),
                 largest_record: number(6).unwrap_or(0),
                 accepted: e.get(12).and_then(Element::as_boolean).ok_or(BerError("Init without a result"))?,
@@ -353,7 +357,7 @@
             22 => Apdu::SearchRequest(SearchRequest::read(&e, reference)?),
             23 => Apdu::SearchResponse(SearchResponse {
                 reference,
-                count: need(23, "a search without a count")?,
+                count: required(23, "a search without a count")?,
                 next: number(25).unwrap_or(0),
                 success: e
                     .get(22)
@@ -366,8 +370,8 @@
             24 => Apdu::PresentRequest(PresentRequest {
                 reference,
                 result_set: e.get(31).and_then(Element::as_text).ok_or(BerError("no result set"))?,
-                start: need(30, "no start")?,
-                number: need(29, "no number of records")?,
+                start: required(30, "no start")?,
+                number: required(29, "no number of records")?,
                 element_set: e.get(19).and_then(|s| s.get(0)).and_then(Element::as_text),
                 syntax: e.get(104).and_then(Element::as_oid),
                 complex: e.get(209).is_some() || e.get(212).is_some(),
@@ -375,16 +379,16 @@
             25 => Apdu::PresentResponse(PresentResponse {
                 reference,
                 next: number(25).unwrap_or(0),
-                status: need(27, "no status")?,
+                status: required(27, "no status")?,
                 records: Records::read(&e)?,
             }),
             26 => {
-                let all = need(32, "no function")? == 1;
+                let all = required(32, "no function")? == 1;
                 let names = e.values().iter().filter(|v| v.tag == Tag::SEQUENCE).flat_map(Element::values);
                 let sets = (!all).then(|| names.filter_map(Element::as_text).collect());
                 Apdu::DeleteRequest { reference, sets }
             }
-            27 => Apdu::DeleteResponse { reference, status: need(0, "no status")? },
+            27 => Apdu::DeleteResponse { reference, status: required(0, "no status")? },
             48 => {
                 let diagnostic_information = e.get(3).and_then(Element::as_text).unwrap_or_default();
                 Apdu::Close { reference, reason: number(211).unwrap_or(9), diagnostic_information }
@@ -393,16 +397,16 @@
         })
     }
 
-    /// The answer to a request for a service that was not agreed on; none where a session ends with it.
-    pub fn unsupported(tag: u32, mark: &Reference) -> Option<Vec<u8>> {
+    /// The response to a request for a service that was not negotiated; none if the session must be closed.
+    pub fn unsupported(tag: u32, reference_id: &Reference) -> Option<Vec<u8>> {
         let condition = super::diagnostic::Condition::UnsupportedOperation;
         let record = diagnostic(Tag::SEQUENCE, &Diagnostic::new(condition, "service not supported"));
-        let mut out = reference(mark);
-        let answer = match tag {
+        let mut out = reference(reference_id);
+        let response_tag = match tag {
             // Scan: status 6 is failure.
             35 => {
-                let why = Element::constructed(Tag::ctx(2), vec![record]);
-                out.extend([int(4, 6), int(5, 0), Element::constructed(Tag::ctx(7), vec![why])]);
+                let diagnostics = Element::constructed(Tag::ctx(2), vec![record]);
+                out.extend([int(4, 6), int(5, 0), Element::constructed(Tag::ctx(7), vec![diagnostics])]);
                 36
             }
             // Sort: status 2 is failure.
@@ -417,14 +421,15 @@
             }
             _ => return None,
         };
-        Some(Element::constructed(Tag::ctx(answer), out).encode())
+        Some(Element::constructed(Tag::ctx(response_tag), out).encode())
     }
 }
 
-/// Makes the words of diagnostics what version 2 reads; nothing else here is a GeneralString.
-fn visible(e: &mut Element) {
+/// Turns each GeneralString into a VisibleString, with `?` for bytes that are not printable ASCII. In a
+/// response only the details of a diagnostic are a GeneralString.
+fn use_visible_strings(e: &mut Element) {
     match &mut e.content {
-        ElementContent::Constructed(values) => values.iter_mut().for_each(visible),
+        ElementContent::Constructed(values) => values.iter_mut().for_each(use_visible_strings),
         ElementContent::Primitive(bytes) if e.tag == Tag::GENERAL_STRING => {
             e.tag = Tag::VISIBLE_STRING;
             bytes.iter_mut().filter(|b| !(0x20..0x7f).contains(*b)).for_each(|b| *b = b'?');
@@ -434,14 +439,14 @@
 }
 
 fn init(
-    mark: &Reference,
+    reference_id: &Reference,
     versions: &[u8],
     options: &[u8],
     sizes: [i64; 2],
     accepted: Option<bool>,
 ) -> Vec<Element> {
-    let mut out = reference(mark);
-    out.extend([bits(3, versions), bits(4, options), int(5, sizes[0]), int(6, sizes[1])]);
+    let mut out = reference(reference_id);
+    out.extend([bit_string(3, versions), bit_string(4, options), int(5, sizes[0]), int(6, sizes[1])]);
     out.extend(accepted.map(|a| Element::boolean(Tag::ctx(12), a)));
     out.extend([text(110, "pebbleturn"), text(111, "pebbleturn"), text(112, env!("CARGO_PKG_VERSION"))]);
     out
@@ -464,11 +469,11 @@
             Query::Rpn(content) => Element::constructed(Tag::ctx(1), content.clone()),
             Query::Cql(cql) => {
                 let oid = Element::oid(Tag::OID, CQL);
-                let words = Element::constructed(
+                let query = Element::constructed(
                     Tag::ctx(0),
                     vec![Element::bytes(Tag::GENERAL_STRING, cql.as_bytes())],
                 );
-                Element::constructed(Tag::ctx(104), vec![oid, words])
+                Element::constructed(Tag::ctx(104), vec![oid, query])
             }
             Query::Other(tag) => Element::bytes(Tag::ctx(*tag), []),
         };
@@ -477,15 +482,15 @@
     }
 
     fn read(e: &Element, reference: Reference) -> Result<SearchRequest, BerError> {
-        let number = |tag: u32, what| e.get(tag).and_then(Element::as_integer).ok_or(BerError(what));
+        let number = |tag: u32, error| e.get(tag).and_then(Element::as_integer).ok_or(BerError(error));
         let query = e.get(21).and_then(|q| q.values().first()).ok_or(BerError("a search without a query"))?;
         let query = match query.tag {
             t if t == Tag::ctx(1) || t == Tag::ctx(101) => Query::Rpn(query.values().to_vec()),
             t if t == Tag::ctx(104) => {
                 let is_cql = query.values().first().and_then(Element::as_oid).is_some_and(|o| o == CQL);
-                let words = query.get(0).or_else(|| query.get(1)).and_then(Element::as_text);
-                match words.filter(|_| is_cql) {
-                    Some(words) => Query::Cql(words),
+                let text = query.get(0).or_else(|| query.get(1)).and_then(Element::as_text);
+                match text.filter(|_| is_cql) {
+                    Some(cql) => Query::Cql(cql),
                     None => Query::Other(104),
                 }
             }
@@ -494,7 +499,7 @@
         let databases = e.get(18).ok_or(BerError("a search without databases"))?;
         let databases =
             databases.values().iter().map(|d| d.as_text().ok_or(BerError("a database's name is no text")));
-        let names = |tag: u32| e.get(tag).and_then(|s| s.get(0)).and_then(Element::as_text);
+        let element_set = |tag: u32| e.get(tag).and_then(|s| s.get(0)).and_then(Element::as_text);
         Ok(SearchRequest {
             reference,
             small_upper: number(13, "a search without its small set")?,
@@ -509,7 +514,7 @@
                 .and_then(Element::as_text)
                 .ok_or(BerError("a search without a result set"))?,
             databases: databases.collect::<Result<_, _>>()?,
-            element_set: names(100).or_else(|| names(101)),
+            element_set: element_set(100).or_else(|| element_set(101)),
             syntax: e.get(104).and_then(Element::as_oid),
             query,
         })
