--- a/src/frontends/catalogue/ber.rs
+++ b/src/frontends/catalogue/ber.rs
@@ -1,5 +1,5 @@
-//! BER: where an APDU ends in a stream, and values as a tree. Decoding and headers are bcder's; what is here
-//! is the bound on depth and the search for the end of a message that is not whole yet.
+//! BER: the size of the APDU at the start of a stream, and values as a tree. bcder decodes values and writes
+//! headers; this module limits the nesting depth and finds the end of a message that may be incomplete.
 
 use bcder::decode::{Constructed, Content, DecodeError, Source};
 use bcder::encode::Values;
@@ -7,12 +7,12 @@
 use std::fmt;
 use std::io;
 
-/// Deepest nesting that is read. Guards the stack: a few bytes from a peer open one level.
-const DEEPEST: usize = 80;
-/// Largest APDU that is read.
+/// Maximum nesting depth. Protects the stack: a peer needs only a few bytes to open a level.
+const MAX_DEPTH: usize = 80;
+/// Largest APDU that is read, in bytes.
 pub const MAX_APDU: usize = crate::net::MAX_BODY;
 
-/// Bytes that are no usable BER.
+/// Bytes that are not valid or not supported BER, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BerError(pub &'static str);
 
@@ -24,49 +24,45 @@
 
 impl std::error::Error for BerError {}
 
-/// One value: a tag, and bytes or further values.
+/// A tagged value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Element {
-    /// Its tag.
     pub tag: Tag,
-    /// Its content.
     pub content: ElementContent,
 }
 
-/// The content of a value.
+/// The contents of a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ElementContent {
-    /// Bytes.
     Primitive(Vec<u8>),
-    /// Values.
     Constructed(Vec<Element>),
 }
 
 impl Element {
-    /// A value of bytes.
+    /// A primitive value.
     pub fn bytes(tag: Tag, bytes: impl Into<Vec<u8>>) -> Element {
         Element { tag, content: ElementContent::Primitive(bytes.into()) }
     }
 
-    /// A value of values.
+    /// A constructed value.
     pub fn constructed(tag: Tag, values: Vec<Element>) -> Element {
         Element { tag, content: ElementContent::Constructed(values) }
     }
 
-    /// An integer, in the fewest bytes.
+    /// An integer in the shortest encoding.
     pub fn integer(tag: Tag, n: i64) -> Element {
         let bytes = n.to_be_bytes();
-        let spare = |w: &&[u8]| {
+        let has_redundant_byte = |w: &&[u8]| {
             matches!(w, [0, b, ..] if b & 0x80 == 0) || matches!(w, [0xff, b, ..] if b & 0x80 != 0)
         };
         let mut rest = &bytes[..];
-        while spare(&rest) {
+        while has_redundant_byte(&rest) {
             rest = &rest[1..];
         }
         Element::bytes(tag, rest)
     }
 
-    /// A truth value.
+    /// A boolean.
     pub fn boolean(tag: Tag, b: bool) -> Element {
         Element::bytes(tag, [if b { 0xff } else { 0 }])
     }
@@ -84,7 +80,7 @@
         Element::bytes(tag, bytes)
     }
 
-    /// The bytes; those of a string cut in pieces are put together.
+    /// The bytes; the segments of a constructed string are joined.
     pub fn as_bytes(&self) -> Vec<u8> {
         match &self.content {
             ElementContent::Primitive(b) => b.clone(),
@@ -92,12 +88,12 @@
         }
     }
 
-    /// Text; none where it is not UTF-8.
+    /// Text; none if it is not UTF-8.
     pub fn as_text(&self) -> Option<String> {
         String::from_utf8(self.as_bytes()).ok()
     }
 
-    /// An integer; none where it is too large.
+    /// An integer; none if it is constructed, empty or longer than 8 bytes.
     pub fn as_integer(&self) -> Option<i64> {
         let ElementContent::Primitive(b) = &self.content else { return None };
         let first = *b.first()?;
@@ -105,7 +101,7 @@
         (b.len() <= 8).then(|| b.iter().fold(start, |n: i64, b| n << 8 | i64::from(*b)))
     }
 
-    /// A truth value.
+    /// A boolean; none if the value is not a single byte.
     pub fn as_boolean(&self) -> Option<bool> {
         match &self.content {
             ElementContent::Primitive(b) if b.len() == 1 => Some(b[0] != 0),
@@ -113,7 +109,7 @@
         }
     }
 
-    /// An object identifier in dotted form.
+    /// An object identifier in dotted form; none if an arc exceeds 32 bits.
     pub fn as_oid(&self) -> Option<String> {
         let ElementContent::Primitive(b) = &self.content else { return None };
         let mut arcs: Vec<u32> = Vec::new();
@@ -134,7 +130,7 @@
         Some(text)
     }
 
-    /// The values within; none for bytes.
+    /// The values in a constructed value; empty for a primitive one.
     pub fn values(&self) -> &[Element] {
         match &self.content {
             ElementContent::Constructed(v) => v,
@@ -142,12 +138,12 @@
         }
     }
 
-    /// The first value within that has this context tag.
+    /// The first contained value with this context tag.
     pub fn get(&self, number: u32) -> Option<&Element> {
         self.values().iter().find(|e| e.tag == Tag::ctx(number))
     }
 
-    /// The whole value as bytes.
+    /// Encodes the value with its header.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.encoded_len(Mode::Ber));
         // Writing to memory can't fail.
@@ -155,27 +151,27 @@
         out
     }
 
-    /// Reads exactly one value.
+    /// Decodes exactly one value.
     pub fn decode(bytes: &[u8]) -> Result<Element, BerError> {
         let read = Constructed::decode(bytes, Mode::Ber, |cons| {
-            let value = take(cons, 0)?;
-            value.ok_or_else(|| cons.content_err("nothing there"))
+            let value = decode_element(cons, 0)?;
+            value.ok_or_else(|| cons.content_err("no value"))
         });
         read.map_err(|_| BerError("a value that is broken or nested too deep"))
     }
 }
 
-fn take<S: Source>(
+fn decode_element<S: Source>(
     cons: &mut Constructed<S>,
     depth: usize,
 ) -> Result<Option<Element>, DecodeError<S::Error>> {
     cons.take_opt_value(|tag, content| {
         let content = match content {
             Content::Primitive(p) => ElementContent::Primitive(p.take_all()?.to_vec()),
-            Content::Constructed(_) if depth >= DEEPEST => return Err(content.content_err("too deep")),
+            Content::Constructed(_) if depth >= MAX_DEPTH => return Err(content.content_err("too deep")),
             Content::Constructed(inner) => {
                 let mut values = Vec::new();
-                while let Some(e) = take(inner, depth + 1)? {
+                while let Some(e) = decode_element(inner, depth + 1)? {
                     values.push(e);
                 }
                 ElementContent::Constructed(values)
@@ -207,59 +203,61 @@
     }
 }
 
-/// Size of the value that `data` starts with; none while it is not whole. Works without recursion.
+/// Size in bytes of the value at the start of `data`; none if the value is incomplete. Does not recurse.
 pub fn size(data: &[u8]) -> Result<Option<usize>, BerError> {
-    let mut at = 0;
+    let mut offset = 0;
+    // Values of indefinite length whose end has not been reached.
     let mut open = 0usize;
     loop {
-        let Some(header) = header(&data[at.min(data.len())..])? else { return Ok(None) };
-        at += header.size;
+        let Some(header) = header(&data[offset.min(data.len())..])? else { return Ok(None) };
+        offset += header.size;
         match header.length {
-            // The end of an indefinite length.
-            Some(0) if header.is_end => match open {
+            // The end-of-contents octets of a value of indefinite length.
+            Some(0) if header.is_end_of_contents => match open {
                 0 => return Err(BerError("an end without a start")),
                 n => open = n - 1,
             },
-            Some(n) => at = at.saturating_add(n),
+            Some(n) => offset = offset.saturating_add(n),
             None if !header.constructed => return Err(BerError("bytes without a length")),
             None => open += 1,
         }
-        if at > MAX_APDU {
+        if offset > MAX_APDU {
             return Err(BerError("larger than may be"));
         }
-        if open > DEEPEST {
+        if open > MAX_DEPTH {
             return Err(BerError("nested too deep"));
         }
         if open == 0 {
-            return Ok((at <= data.len()).then_some(at));
+            return Ok((offset <= data.len()).then_some(offset));
         }
     }
 }
 
 struct Header {
     size: usize,
+    /// Length of the contents in bytes; none if it is indefinite.
     length: Option<usize>,
     constructed: bool,
-    is_end: bool,
+    is_end_of_contents: bool,
 }
 
 fn header(data: &[u8]) -> Result<Option<Header>, BerError> {
     let Some(first) = data.first() else { return Ok(None) };
-    let mut at = 1;
+    let mut offset = 1;
     if first & 0x1f == 0x1f {
         loop {
-            let Some(byte) = data.get(at) else { return Ok(None) };
-            at += 1;
+            let Some(byte) = data.get(offset) else { return Ok(None) };
+            offset += 1;
             if byte & 0x80 == 0 {
                 break;
             }
-            if at > 3 {
+            if offset > 3 {
                 return Err(BerError("a tag number out of range"));
             }
         }
     }
-    let Some(byte) = data.get(at).copied() else { return Ok(None) };
-    at += 1;
+    let Some(byte) = data.get(offset).copied() else { return Ok(None) };
+    offset += 1;
     let length = match byte {
         0x80 => None,
         n if n < 0x80 => Some(usize::from(n)),
@@ -268,11 +266,11 @@
             if count > 4 {
                 return Err(BerError("a length out of range"));
             }
-            let Some(bytes) = data.get(at..at + count) else { return Ok(None) };
-            at += count;
+            let Some(bytes) = data.get(offset..offset + count) else { return Ok(None) };
+            offset += count;
             Some(bytes.iter().fold(0, |n, b| n << 8 | usize::from(*b)))
         }
     };
-    let is_end = data[0] == 0 && length == Some(0);
-    Ok(Some(Header { size: at, length, constructed: first & 0x20 != 0, is_end }))
+    let is_end_of_contents = data[0] == 0 && length == Some(0);
+    Ok(Some(Header { size: offset, length, constructed: first & 0x20 != 0, is_end_of_contents }))
 }
