--- a/src/frontends/catalogue/diagnostic.rs
+++ b/src/frontends/catalogue/diagnostic.rs
@@ -48,7 +48,7 @@
 }
 
 /// Each condition's number in the SRU diagnostic set, its number in Bib-1, and its message.
-const NUMBERS: &[(Condition, u16, u16, &str)] = &[
+const CONDITIONS: &[(Condition, u16, u16, &str)] = &[
     (Condition::GeneralError, 1, 1, "General system error"),
     (Condition::TemporarilyUnavailable, 2, 2, "System temporarily unavailable"),
     (Condition::OutOfTime, 1, 31, "Resources exhausted, no results available"),
@@ -91,7 +91,7 @@
     (Condition::ResultSetExists, 50, 21, "Result set exists and replace indicator is off"),
 ];
 
-/// Bib-1's unspecified error, which tells nothing of its cause.
+/// Bib-1's "unspecified error", which gives no cause and is therefore not read as a condition.
 const UNSPECIFIED: u16 = 100;
 
 /// A condition with its additional information.
@@ -103,49 +103,48 @@
 }
 
 impl Diagnostic {
-    /// A diagnostic.
     pub fn new(condition: Condition, details: impl Into<String>) -> Diagnostic {
         Diagnostic { condition, details: details.into() }
     }
 
-    /// The one for a search that is too long.
-    pub fn too_many_operators(most: usize) -> Diagnostic {
-        Diagnostic::new(Condition::TooManyOperators, most.to_string())
+    /// The diagnostic for a search with more than `limit` operators.
+    pub fn too_many_operators(limit: usize) -> Diagnostic {
+        Diagnostic::new(Condition::TooManyOperators, limit.to_string())
     }
 
-    fn line(&self) -> (u16, u16, &'static str) {
-        let line = NUMBERS.iter().find(|(t, ..)| *t == self.condition);
-        line.map_or((1, 1, "General system error"), |(_, sru, bib1, words)| (*sru, *bib1, words))
+    fn definition(&self) -> (u16, u16, &'static str) {
+        let found = CONDITIONS.iter().find(|(t, ..)| *t == self.condition);
+        found.map_or((1, 1, "General system error"), |(_, sru, bib1, message)| (*sru, *bib1, message))
     }
 
-    /// Its number in the set info:srw/diagnostic/1.
+    /// The number in the SRU diagnostic set, `info:srw/diagnostic/1`.
     pub fn sru(&self) -> u16 {
-        self.line().0
+        self.definition().0
     }
 
-    /// Its number in Bib-1.
+    /// The number in Bib-1.
     pub fn bib1(&self) -> u16 {
-        self.line().1
+        self.definition().1
     }
 
-    /// What it says.
     pub fn message(&self) -> &'static str {
-        self.line().2
+        self.definition().2
     }
 
-    /// The diagnostic that a server of SRU gave.
+    /// The diagnostic of an SRU server; a general error if the number is unknown.
     pub fn from_sru(number: u16, details: &str) -> Diagnostic {
-        let line = NUMBERS.iter().find(|(_, sru, ..)| *sru == number);
-        match line {
+        let found = CONDITIONS.iter().find(|(_, sru, ..)| *sru == number);
+        match found {
             Some((condition, ..)) => Diagnostic::new(*condition, details),
             None => Diagnostic::new(Condition::GeneralError, format!("SRU diagnostic {number} {details}")),
         }
     }
 
-    /// The diagnostic that a server of Z39.50 gave.
+    /// The diagnostic of a Z39.50 server; a general error if the number is unknown or the
+    /// unspecified error.
     pub fn from_bib1(number: u16, details: &str) -> Diagnostic {
-        let line = NUMBERS.iter().find(|(_, _, bib1, _)| *bib1 == number && number != UNSPECIFIED);
-        match line {
+        let found = CONDITIONS.iter().find(|(_, _, bib1, _)| *bib1 == number && number != UNSPECIFIED);
+        match found {
             Some((condition, ..)) => Diagnostic::new(*condition, details),
             None => Diagnostic::new(Condition::GeneralError, format!("Bib-1 diagnostic {number} {details}")),
         }
