--- a/src/frontends/catalogue/marc.rs
+++ b/src/frontends/catalogue/marc.rs
@@ -1,4 +1,4 @@
-//! MARC records: as ISO 2709 and as MARCXML.
+//! MARC records in ISO 2709 and in MARCXML.
 
 use quick_xml::events::Event;
 use quick_xml::reader::Reader;
@@ -7,13 +7,14 @@
 /// The namespace of MARCXML.
 pub const MARCXML: &str = "http://www.loc.gov/MARC21/slim";
 
-const FIELD_END: u8 = 0x1e;
-const RECORD_END: u8 = 0x1d;
-const SUBFIELD: u8 = 0x1f;
-/// Longest record that ISO 2709 has room for.
-const LONGEST: usize = 99_999;
+// Separators of ISO 2709.
+const FIELD_TERMINATOR: u8 = 0x1e;
+const RECORD_TERMINATOR: u8 = 0x1d;
+const SUBFIELD_DELIMITER: u8 = 0x1f;
+/// Longest record in ISO 2709, in bytes: the leader has five digits for the length.
+const MAX_RECORD_LENGTH: usize = 99_999;
 
-/// Bytes or text that are no MARC record.
+/// Bytes or text that are not a MARC record, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MarcError(pub &'static str);
 
@@ -25,30 +26,33 @@
 
 impl std::error::Error for MarcError {}
 
-/// One field.
+/// A field of a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Field {
-    /// A control field.
+    /// A control field: only a value.
     Control { tag: String, value: String },
-    /// A field with indicators and subfields.
+    /// A data field, with indicators and subfields.
     Data { tag: String, indicators: [char; 2], subfields: Vec<(char, String)> },
 }
 
-/// A record.
+/// A MARC record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// The leader's 24 characters. Lengths in it are made anew when the record is written.
+    /// The 24 characters of the leader. The lengths in it are recomputed when ISO 2709 is written.
     pub leader: String,
     /// The fields, in order.
     pub fields: Vec<Field>,
 }
 
-/// Characters 0 to 4 and 12 to 16 are lengths of one written form, and say nothing in another.
-fn plain_leader(leader: &str) -> String {
+/// A leader with fixed values where it describes the encoding of a record. Characters 0 to 4 (record length)
+/// and 12 to 16 (base address of data) are lengths that hold for one encoding only, and become zeros. The
+/// character set is UTF-8, and the sizes of indicators, subfield codes and directory entries are those of
+/// MARC 21.
+fn normalize_leader(leader: &str) -> String {
     let mut out: Vec<char> = leader.chars().map(|c| if c.is_ascii_graphic() { c } else { ' ' }).collect();
     out.resize(24, ' ');
-    for place in (0..5).chain(12..17) {
-        out[place] = '0';
+    for position in (0..5).chain(12..17) {
+        out[position] = '0';
     }
     (out[9], out[10], out[11]) = ('a', '2', '2');
     (out[20], out[21], out[22], out[23]) = ('4', '5', '0', '0');
@@ -58,10 +62,10 @@
 impl Record {
     /// A record without fields.
     pub fn new(leader: &str) -> Record {
-        Record { leader: plain_leader(leader), fields: Vec::new() }
+        Record { leader: normalize_leader(leader), fields: Vec::new() }
     }
 
-    /// Reads ISO 2709 in UTF-8, or in plain ASCII under any character set.
+    /// Reads ISO 2709 in UTF-8. A record that declares another character set must be ASCII.
     pub fn from_iso2709(bytes: &[u8]) -> Result<Record, MarcError> {
         let leader = bytes.get(..24).ok_or(MarcError("no leader"))?;
         let number = |b: &[u8]| -> Result<usize, MarcError> {
@@ -71,13 +75,13 @@
         let length = number(&leader[..5])?;
         let base = number(&leader[12..17])?;
         let record = bytes.get(..length).ok_or(MarcError("shorter than it says"))?;
-        if record.last() != Some(&RECORD_END) || base < 25 || base > length {
+        if record.last() != Some(&RECORD_TERMINATOR) || base < 25 || base > length {
             return Err(MarcError("its parts don't fit"));
         }
         let directory = &record[24..base - 1];
         let utf8 = leader[9] == b'a';
         let text = |b: &[u8]| -> Result<String, MarcError> {
-            // Guards against another character set taken for UTF-8: what can't be read is not passed on.
+            // Text in another character set must not be passed on as UTF-8.
             if !utf8 && !b.is_ascii() {
                 return Err(MarcError("a character set that is not read"));
             }
@@ -85,20 +89,20 @@
         };
         let mut out = Record::new(&String::from_utf8_lossy(leader));
         for entry in directory.chunks(12) {
-            let [tag, long, start] = [entry.get(..3), entry.get(3..7), entry.get(7..12)]
+            let [tag, field_length, start] = [entry.get(..3), entry.get(3..7), entry.get(7..12)]
                 .map(|part| part.ok_or(MarcError("a broken directory")));
-            let (tag, long, start) = (text(tag?)?, number(long?)?, number(start?)?);
-            let end = base + start + long;
+            let (tag, field_length, start) = (text(tag?)?, number(field_length?)?, number(start?)?);
+            let end = base + start + field_length;
             let body = record.get(base + start..end).ok_or(MarcError("a field past the end"))?;
-            let body = body.strip_suffix(&[FIELD_END]).ok_or(MarcError("a field without its end"))?;
+            let body = body.strip_suffix(&[FIELD_TERMINATOR]).ok_or(MarcError("a field without its end"))?;
             if tag.starts_with("00") {
                 out.fields.push(Field::Control { tag, value: text(body)? });
                 continue;
             }
-            let mut pieces = body.split(|b| *b == SUBFIELD);
-            let head = text(pieces.next().unwrap_or(&[]))?;
-            let mut marks = head.chars();
-            let indicators = [marks.next().unwrap_or(' '), marks.next().unwrap_or(' ')];
+            let mut pieces = body.split(|b| *b == SUBFIELD_DELIMITER);
+            let indicators = text(pieces.next().unwrap_or(&[]))?;
+            let mut indicators = indicators.chars();
+            let indicators = [indicators.next().unwrap_or(' '), indicators.next().unwrap_or(' ')];
             let mut subfields = Vec::new();
             for piece in pieces {
                 let piece = text(piece)?;
@@ -124,25 +128,25 @@
                 Field::Data { tag, indicators, subfields } => {
                     data.extend(indicators.iter().collect::<String>().bytes());
                     for (code, value) in subfields {
-                        data.push(SUBFIELD);
+                        data.push(SUBFIELD_DELIMITER);
                         data.extend(code.to_string().bytes());
                         data.extend_from_slice(value.as_bytes());
                     }
                     tag
                 }
             };
-            data.push(FIELD_END);
-            let long = data.len() - start;
-            if tag.len() != 3 || !tag.is_ascii() || long > 9_999 || start > LONGEST {
+            data.push(FIELD_TERMINATOR);
+            let field_length = data.len() - start;
+            if tag.len() != 3 || !tag.is_ascii() || field_length > 9_999 || start > MAX_RECORD_LENGTH {
                 return Err(MarcError("a field that ISO 2709 has no room for"));
             }
-            directory.extend(format!("{tag}{long:04}{start:05}").bytes());
+            directory.extend(format!("{tag}{field_length:04}{start:05}").bytes());
         }
-        directory.push(FIELD_END);
-        data.push(RECORD_END);
+        directory.push(FIELD_TERMINATOR);
+        data.push(RECORD_TERMINATOR);
         let base = 24 + directory.len();
         let length = base + data.len();
-        if length > LONGEST {
+        if length > MAX_RECORD_LENGTH {
             return Err(MarcError("longer than ISO 2709 has room for"));
         }
         let leader = &self.leader;
@@ -174,13 +178,13 @@
         out + "</record>"
     }
 
-    /// Reads MARCXML: the first record in it.
+    /// Reads the first record in MARCXML.
     pub fn from_marcxml(xml: &str) -> Result<Record, MarcError> {
         let mut reader = Reader::from_str(xml);
         let mut record = Record::new("");
         let mut text = String::new();
         let mut subfield: Option<char> = None;
-        let mut within = false;
+        let mut in_record = false;
         loop {
             let event = reader.read_event().map_err(|_| MarcError("broken XML"))?;
             match &event {
@@ -191,15 +195,16 @@
                     };
                     text.clear();
                     match e.local_name().as_ref() {
-                        "record" => within = true,
+                        "record" => in_record = true,
                         "controlfield" => {
                             let tag = attribute("tag").ok_or(MarcError("a field without a tag"))?;
                             record.fields.push(Field::Control { tag, value: String::new() });
                         }
                         "datafield" => {
                             let tag = attribute("tag").ok_or(MarcError("a field without a tag"))?;
-                            let mark = |name| attribute(name).and_then(|v| v.chars().next()).unwrap_or(' ');
-                            let indicators = [mark("ind1"), mark("ind2")];
+                            let indicator =
+                                |name| attribute(name).and_then(|v| v.chars().next()).unwrap_or(' ');
+                            let indicators = [indicator("ind1"), indicator("ind2")];
                             record.fields.push(Field::Data { tag, indicators, subfields: Vec::new() });
                         }
                         "subfield" => subfield = attribute("code").and_then(|v| v.chars().next()),
@@ -216,7 +221,7 @@
                 Event::CData(t) => text += t,
                 Event::End(e) => {
                     match (e.local_name().as_ref(), record.fields.last_mut()) {
-                        ("leader", _) => record.leader = plain_leader(&text),
+                        ("leader", _) => record.leader = normalize_leader(&text),
                         ("controlfield", Some(Field::Control { value, .. })) => {
                             *value = std::mem::take(&mut text)
                         }
@@ -224,7 +229,7 @@
                             let code = subfield.take().ok_or(MarcError("a subfield without its code"))?;
                             subfields.push((code, std::mem::take(&mut text)));
                         }
-                        ("record", _) if within => return Ok(record),
+                        ("record", _) if in_record => return Ok(record),
                         _ => {}
                     }
                     text.clear();
@@ -236,14 +241,15 @@
     }
 }
 
-/// Text as XML content or attribute. Control characters that XML 1.0 has no form for are left out.
+/// Escapes text for XML content or an attribute. Control characters that XML 1.0 cannot represent are
+/// omitted.
 pub fn escape(text: &str) -> String {
     let allowed = |c: &char| !c.is_control() || matches!(c, '\t' | '\n' | '\r');
     let plain: String = text.chars().filter(allowed).collect();
     quick_xml::escape::escape(plain.as_str()).into_owned()
 }
 
-/// XML content or attribute as text; none with an unknown entity.
+/// Unescapes XML content or an attribute; none if it has an unknown entity.
 pub fn unescape(text: &str) -> Option<String> {
     quick_xml::escape::unescape(text).ok().map(|t| t.into_owned())
 }
