--- a/src/frontends/catalogue/rpn.rs
+++ b/src/frontends/catalogue/rpn.rs
@@ -1,4 +1,4 @@
-//! Type-1 queries of Z39.50 with Bib-1 attributes: read into a search, and written from one.
+//! Type-1 (RPN) queries of Z39.50 with Bib-1 attributes, converted to and from a search.
 
 use super::ber::Element;
 use super::diagnostic::{Condition, Diagnostic};
@@ -8,12 +8,12 @@
 /// The Bib-1 attribute set.
 pub const BIB1: &str = "1.2.840.10003.3.1";
 
-/// Reads the content of an RPNQuery. `stored` gives the search behind a result set's name.
+/// Reads the content of an RPNQuery. `stored` returns the search that created the result set of a name.
 pub fn read(query: &[Element], stored: &impl Fn(&str) -> Option<Search>) -> Result<Search, Diagnostic> {
     let [set, structure] = query else { return Err(malformed("an RPN query has two parts")) };
     let set = set.as_oid().ok_or_else(|| malformed("no attribute set"))?;
     check_set(&set)?;
-    structure_of(structure, stored, 0)?.check()
+    read_structure(structure, stored, 0)?.check()
 }
 
 fn malformed(what: &str) -> Diagnostic {
@@ -24,7 +24,7 @@
     if oid == BIB1 { Ok(()) } else { Err(Diagnostic::new(Condition::UnsupportedAttributeSet, oid)) }
 }
 
-fn structure_of(
+fn read_structure(
     e: &Element,
     stored: &impl Fn(&str) -> Option<Search>,
     depth: usize,
@@ -34,7 +34,7 @@
     }
     match (e.tag, e.values()) {
         (tag, [operand]) if tag == Tag::ctx(0) => match operand.tag {
-            t if t == Tag::ctx(102) => clause(operand).map(Search::Clause),
+            t if t == Tag::ctx(102) => read_clause(operand).map(Search::Clause),
             t if t == Tag::ctx(31) => {
                 let name = operand.as_text().unwrap_or_default();
                 stored(&name).ok_or_else(|| Diagnostic::new(Condition::NoSuchResultSet, name))
@@ -55,14 +55,14 @@
                 }
                 t => return Err(Diagnostic::new(Condition::UnsupportedOperator, t.number().to_string())),
             };
-            let left = structure_of(left, stored, depth + 1)?;
-            Ok(Search::join(op, left, structure_of(right, stored, depth + 1)?))
+            let left = read_structure(left, stored, depth + 1)?;
+            Ok(Search::join(op, left, read_structure(right, stored, depth + 1)?))
         }
         _ => Err(malformed("neither an operand nor an operation")),
     }
 }
 
-fn clause(e: &Element) -> Result<Clause, Diagnostic> {
+fn read_clause(e: &Element) -> Result<Clause, Diagnostic> {
     let [attributes, term] = e.values() else { return Err(malformed("a term has two parts")) };
     if attributes.tag != Tag::ctx(44) {
         return Err(malformed("no list of attributes"));
@@ -77,6 +77,7 @@
     if text.trim().is_empty() {
         return Err(Diagnostic::new(Condition::EmptyTerm, ""));
     }
+    // 1016 is the use attribute "any", which applies if the query has none.
     let mut c = Clause::new(1016, text);
     for attribute in attributes.values() {
         if let Some(set) = attribute.get(1) {
@@ -87,33 +88,33 @@
         let value = attribute.get(121).and_then(Element::as_integer);
         let value =
             value.ok_or_else(|| Diagnostic::new(Condition::UnsupportedAttributeType, "a complex value"))?;
-        let refuse = |condition| Diagnostic::new(condition, value.to_string());
+        let unsupported = |condition| Diagnostic::new(condition, value.to_string());
         match (kind, value) {
-            (1, n) => c.access = u16::try_from(n).map_err(|_| refuse(Condition::UnsupportedIndex))?,
+            (1, n) => c.access = u16::try_from(n).map_err(|_| unsupported(Condition::UnsupportedIndex))?,
             (2, 1) => c.relation = Relation::Less,
             (2, 2) => c.relation = Relation::LessOrEqual,
             (2, 3) => c.relation = Relation::Equal,
             (2, 4) => c.relation = Relation::GreaterOrEqual,
             (2, 5) => c.relation = Relation::Greater,
             (2, 6) => c.relation = Relation::NotEqual,
-            (2, _) => return Err(refuse(Condition::UnsupportedRelation)),
+            (2, _) => return Err(unsupported(Condition::UnsupportedRelation)),
             (3, 1 | 2) => c.first_in_field = true,
             (3, 3) => {}
-            (3, _) => return Err(refuse(Condition::AnchorUnsupported)),
+            (3, _) => return Err(unsupported(Condition::AnchorUnsupported)),
             (4, 1) => c.structure = Structure::Phrase,
             (4, 2) => c.structure = Structure::Word,
             (4, 6) => c.structure = Structure::WordList,
-            // Key, year, dates, numbers and local strings stand as they are written.
+            // Key, year, date, URX, number and string structures: the term is used as written.
             (4, 3 | 4 | 5 | 100 | 104 | 107 | 108 | 109) => {}
-            (4, _) => return Err(refuse(Condition::UnsupportedStructure)),
+            (4, _) => return Err(unsupported(Condition::UnsupportedStructure)),
             (5, 1) => c.truncation = Truncation::Right,
             (5, 2) => c.truncation = Truncation::Left,
             (5, 3) => c.truncation = Truncation::Both,
             (5, 100) => c.truncation = Truncation::None,
-            (5, _) => return Err(refuse(Condition::MaskingUnsupported)),
+            (5, _) => return Err(unsupported(Condition::MaskingUnsupported)),
             (6, 1 | 2) => {}
             (6, 3) => c.complete_field = true,
-            (6, _) => return Err(refuse(Condition::UnsupportedStructure)),
+            (6, _) => return Err(unsupported(Condition::UnsupportedStructure)),
             (other, _) => {
                 return Err(Diagnostic::new(Condition::UnsupportedAttributeType, other.to_string()));
             }
@@ -130,12 +131,12 @@
 
 /// Writes the content of an RPNQuery.
 pub fn write(search: &Search) -> Vec<Element> {
-    vec![Element::oid(Tag::OID, BIB1), structure(search)]
+    vec![Element::oid(Tag::OID, BIB1), write_structure(search)]
 }
 
-fn structure(search: &Search) -> Element {
+fn write_structure(search: &Search) -> Element {
     match search {
-        Search::Clause(c) => Element::constructed(Tag::ctx(0), vec![operand(c)]),
+        Search::Clause(c) => Element::constructed(Tag::ctx(0), vec![write_operand(c)]),
         Search::Both(operator, l, r) => {
             let number = match operator {
                 Operator::And => 0,
@@ -143,12 +144,12 @@
                 Operator::AndNot => 2,
             };
             let op = Element::constructed(Tag::ctx(46), vec![Element::bytes(Tag::ctx(number), [])]);
-            Element::constructed(Tag::ctx(1), vec![structure(l), structure(r), op])
+            Element::constructed(Tag::ctx(1), vec![write_structure(l), write_structure(r), op])
         }
     }
 }
 
-fn operand(c: &Clause) -> Element {
+fn write_operand(c: &Clause) -> Element {
     let relation = match c.relation {
         Relation::Less => 1,
         Relation::LessOrEqual => 2,
@@ -184,6 +185,6 @@
             vec![Element::integer(Tag::ctx(120), kind), Element::integer(Tag::ctx(121), value)],
         )
     });
-    let list = Element::constructed(Tag::ctx(44), attributes.into());
-    Element::constructed(Tag::ctx(102), vec![list, Element::bytes(Tag::ctx(45), c.term.as_bytes())])
+    let attribute_list = Element::constructed(Tag::ctx(44), attributes.into());
+    Element::constructed(Tag::ctx(102), vec![attribute_list, Element::bytes(Tag::ctx(45), c.term.as_bytes())])
 }
