--- a/src/frontends/catalogue/mod.rs
+++ b/src/frontends/catalogue/mod.rs
@@ -1,4 +1,4 @@
-//! The catalogue front: SRU and Z39.50, clients and servers, every pairing.
+//! The catalogue frontend. Clients and nodes each use SRU or Z39.50, in any combination.
 
 pub mod apdu;
 pub mod ber;
