--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -2,7 +2,7 @@
 
 use super::apdu::*;
 use super::ber;
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::marc::Record;
 use super::plan::{PartValue, PartitionResult};
 use super::search::Search;
@@ -125,7 +125,11 @@
     /// What is to be sent before a connection is closed.
     pub fn farewell(&self) -> Option<Vec<u8>> {
         let words = "idle".into();
-        let close = Apdu::Close { reference: None, reason: CloseReason::Finished as i64, words };
+        let close = Apdu::Close {
+            reference: None,
+            reason: CloseReason::Finished as i64,
+            diagnostic_information: words,
+        };
         matches!(self.speech, Speech::Z3950 { greeted: true }).then(|| close.encode())
     }
 
@@ -221,11 +225,11 @@
 
 /// What a diagnostic for a whole search means for the attempt.
 fn refused(d: Diagnostic) -> Step {
-    Step::Done(match d.trouble {
-        Trouble::TemporarilyUnavailable => Err(Outcome::Rejected),
+    Step::Done(match d.condition {
+        Condition::TemporarilyUnavailable => Err(Outcome::Rejected),
         // Half of a partition is not that partition's answer; another replica may have all of it.
-        Trouble::PartialResult => Err(Outcome::Error),
-        _ if d.is_of_server() => Err(Outcome::Error),
+        Condition::PartialResult => Err(Outcome::Error),
+        _ if d.is_server_failure() => Err(Outcome::Error),
         _ => Ok(Err(d)),
     })
 }
@@ -247,7 +251,7 @@
         }
     };
     match response.diagnostics.into_iter().next() {
-        Some(d) if d.trouble == Trouble::FirstPositionOutOfRange => {}
+        Some(d) if d.condition == Condition::FirstPositionOutOfRange => {}
         Some(d) => return Ok(refused(d)),
         None => {}
     }
@@ -299,7 +303,7 @@
             let task = task.as_mut().ok_or_else(unasked)?;
             let records = match r.records {
                 Records::Some(records) => records,
-                Records::Diagnostic(d) if d.trouble == Trouble::FirstPositionOutOfRange => vec![],
+                Records::Diagnostic(d) if d.condition == Condition::FirstPositionOutOfRange => vec![],
                 Records::Diagnostic(d) => return Ok(refused(d)),
                 Records::None => vec![],
             };
@@ -307,15 +311,15 @@
             task.take(records.into_iter().map(item).collect());
             Ok(if none || task.wanted() == 0 { task.found() } else { present(task) })
         }
-        Apdu::Close { reason, words, .. } => {
-            Err(Broken(format!("closed by the node, reason {reason} {words:?}")))
+        Apdu::Close { reason, diagnostic_information, .. } => {
+            Err(Broken(format!("closed by the node, reason {reason} {diagnostic_information:?}")))
         }
         _ => Err(unasked()),
     }
 }
 
 fn item(r: Retrieved) -> Item {
-    let why = |e: String| Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, e));
+    let why = |e: String| Item::Diagnostic(Diagnostic::new(Condition::RecordUnavailable, e));
     match r {
         Retrieved::Diagnostic(d) => Item::Diagnostic(d),
         Retrieved::Record { syntax, bytes } if syntax == USMARC => {
--- a/src/frontends/catalogue/plan.rs
+++ b/src/frontends/catalogue/plan.rs
@@ -2,7 +2,7 @@
 //! records. Record positions run through the partitions in order: all hits of the first partition, then those
 //! of the next.
 
-use super::diagnostic::{Diagnostic, Trouble};
+use super::diagnostic::{Condition, Diagnostic};
 use super::search::Search;
 use super::sru::Item;
 use crate::api::Nanos;
@@ -80,7 +80,7 @@
     pub fn diagnostic(&self) -> Option<Diagnostic> {
         let missing = self.missing();
         let details = format!("{} of {} partitions answered", self.0.len() - missing, self.0.len());
-        (missing > 0).then(|| Diagnostic::new(Trouble::PartialResult, details))
+        (missing > 0).then(|| Diagnostic::new(Condition::PartialResult, details))
     }
 }
 
@@ -144,7 +144,7 @@
         returned.truncate(range.count as usize);
         let missing = range.count as usize - returned.len();
         out.append(&mut returned);
-        let why = || Diagnostic::new(Trouble::RecordUnavailable, format!("partition {}", range.partition));
+        let why = || Diagnostic::new(Condition::RecordUnavailable, format!("partition {}", range.partition));
         out.extend((0..missing).map(|_| Item::Diagnostic(why())));
     }
     out
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use pebbleturn::frontends::catalogue::apdu::*;
 use pebbleturn::frontends::catalogue::ber::{self, Element};
-use pebbleturn::frontends::catalogue::diagnostic::{Diagnostic, Trouble};
+use pebbleturn::frontends::catalogue::diagnostic::{Condition, Diagnostic};
 use pebbleturn::frontends::catalogue::marc::{Field, Record};
 use pebbleturn::frontends::catalogue::search::*;
 use pebbleturn::frontends::catalogue::{cql, rpn, sru};
@@ -78,7 +78,7 @@
 fn no_parser_panics_on_random_input() {
     check(2, |(bytes, cut): (Vec<u8>, usize)| {
         // A valid start takes the parser past its first checks before it meets the random bytes.
-        let apdu = Element::of(bcder::Tag::ctx(22), vec![]).encode();
+        let apdu = Element::constructed(bcder::Tag::ctx(22), vec![]).encode();
         for start in
             [&b""[..], b"\0\0\0\x20Y", &REQUESTS[..cut % REQUESTS.len()], &apdu, b"<searchRetrieveResponse>"]
         {
@@ -244,7 +244,7 @@
 
 #[test]
 fn apdus_round_trip_and_their_size_is_known_only_when_complete() {
-    let d = || Diagnostic::new(Trouble::UnsupportedIndex, "99");
+    let d = || Diagnostic::new(Condition::UnsupportedIndex, "99");
     let reference = Some(vec![1, 2]);
     let search = Search::Clause(Clause::new(4, "raga"));
     let found =
@@ -304,7 +304,7 @@
         }),
         Apdu::DeleteRequest { reference: None, sets: Some(vec!["a".into()]) },
         Apdu::DeleteResponse { reference: None, status: 1 },
-        Apdu::Close { reference: None, reason: 1, words: "draining".into() },
+        Apdu::Close { reference: None, reason: 1, diagnostic_information: "draining".into() },
     ];
     for apdu in all {
         let bytes = apdu.encode();
@@ -318,7 +318,7 @@
 
 #[test]
 fn diagnostic_texts_are_encoded_for_each_protocol_version() {
-    let d = Diagnostic::new(Trouble::UnsupportedIndex, "9\u{e9}");
+    let d = Diagnostic::new(Condition::UnsupportedIndex, "9\u{e9}");
     let records = Records::Diagnostic(d);
     let apdu = Apdu::PresentResponse(PresentResponse { reference: None, next: 0, status: 5, records });
     let has = |bytes: Vec<u8>, words: &[u8]| bytes.windows(words.len()).any(|w| w == words);
@@ -352,9 +352,9 @@
 #[test]
 fn sru_responses_round_trip_in_both_record_packings() {
     use sru::{Item, RecordPacking, Response};
-    let d = Diagnostic::new(Trouble::PartialResult, "2 of 3 <parts>");
+    let d = Diagnostic::new(Condition::PartialResult, "2 of 3 <parts>");
     let items =
-        vec![Item::Record(record()), Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, "x"))];
+        vec![Item::Record(record()), Item::Diagnostic(Diagnostic::new(Condition::RecordUnavailable, "x"))];
     let r = Response { total: 12, items, next: Some(3), diagnostics: vec![d] };
     for packing in [RecordPacking::Xml, RecordPacking::String] {
         let bytes = sru::write(&r, "1.1", packing, 1);
