--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -1,4 +1,5 @@
-//! The client side: SRU and Z39.50 connections that hand queries to the exchange and wait for its answers.
+//! Downstream connections of clients that speak SRU or Z39.50: submits their searches to the query engine
+//! and sends the responses.
 
 use super::apdu::{Apdu, CloseReason};
 use super::ber;
@@ -20,107 +21,111 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most reads of one connection at a time.
-const READS: usize = 4;
+/// Most reads of one connection in a row, so that other connections get their turn.
+const MAX_CONSECUTIVE_READS: usize = 4;
 
-type Hand<'a> = FrontendContext<'a, Sought, PartValue>;
+type CatalogueContext<'a> = FrontendContext<'a, Sought, PartValue>;
 
-/// An SRU search that waits for its answer.
-struct Asked {
+/// What the response to a pending SRU search needs of its request.
+struct PendingSearch {
     version: &'static str,
     packing: Packing,
     start: u64,
 }
 
-enum Speech {
-    Sru { reader: Reader, keep_alive: bool, asked: Option<Asked> },
+/// The protocol of a client connection, with its state.
+enum ProtocolState {
+    Sru { reader: Reader, keep_alive: bool, pending: Option<PendingSearch> },
     Z3950(Box<Session>),
 }
 
 struct Client {
-    speech: Speech,
+    protocol: ProtocolState,
     job: Option<(QueryId, Job)>,
     peer: SocketAddr,
 }
 
-/// What the operator's file says, as the client side needs it.
-struct Told {
+/// The settings that client requests depend on.
+struct CatalogueSettings {
     operator: OperatorConfig,
     key_access: Option<u16>,
 }
 
 /// All client connections.
 pub struct Clients {
-    told: Told,
-    sru: u8,
+    settings: CatalogueSettings,
+    sru_owner: u8,
     clients: HashMap<ConnId, Client>,
-    waiting: HashMap<QueryId, ConnId>,
-    places: ConnectionSlots,
-    /// Ready no more, and every answer the last on its connection.
+    conn_by_query: HashMap<QueryId, ConnId>,
+    slots: ConnectionSlots,
+    /// Whether readiness checks fail and new sessions are rejected.
     draining: bool,
-    leaving: bool,
+    /// Whether each response is the last on its connection.
+    closing: bool,
 }
 
-impl session::Catalogue for Told {
-    fn shape(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic> {
+impl session::Catalogue for CatalogueSettings {
+    fn plan_search(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic> {
         let o = &self.operator;
         let found = o.database.iter().find(|d| d.name == database);
         let database = found.ok_or_else(|| Diagnostic::new(Trouble::NoSuchDatabase, database))?;
         let class = o.class.iter().position(|c| c.name == database.class).unwrap_or(0);
         let key = self.key_access.and_then(|a| search.key(a)).map(plan::key_number);
         let partitions = plan::partitions(o.partitions.count, o.partitions.per_key, key);
-        let wait = o.class[class].deadline_ms * 1_000_000;
-        Ok((Shape { search: Rc::new(search), class, key, partitions }, wait))
+        let time_limit = o.class[class].deadline_ms * 1_000_000;
+        Ok((Shape { search: Rc::new(search), class, key, partitions }, time_limit))
     }
 
-    fn most_records(&self) -> u64 {
+    fn max_records(&self) -> u64 {
         self.operator.limits.records
     }
 
-    fn most_sets(&self) -> usize {
+    fn max_result_sets(&self) -> usize {
         self.operator.limits.result_sets
     }
 }
 
 impl Clients {
-    /// The client side, with so many places; connections with the mark `sru` speak SRU, all others Z39.50.
-    pub fn new(operator: OperatorConfig, sru: u8, places: usize) -> Clients {
+    /// No clients yet, and at most `max_clients`. Connections of the owner `sru_owner` speak SRU, all others
+    /// Z39.50.
+    pub fn new(operator: OperatorConfig, sru_owner: u8, max_clients: usize) -> Clients {
         let key_access = operator.key_index().and_then(search::access_of);
-        let (clients, waiting) = (HashMap::new(), HashMap::new());
-        let places = ConnectionSlots::new(places, places, operator.limits.session_idle_s * 1_000_000_000);
+        let (clients, conn_by_query) = (HashMap::new(), HashMap::new());
+        let slots =
+            ConnectionSlots::new(max_clients, max_clients, operator.limits.session_idle_s * 1_000_000_000);
         Clients {
-            told: Told { operator, key_access },
-            sru,
+            settings: CatalogueSettings { operator, key_access },
+            sru_owner,
             clients,
-            waiting,
-            places,
+            conn_by_query,
+            slots,
             draining: false,
-            leaving: false,
+            closing: false,
         }
     }
 
-    /// No connection is held.
+    /// Whether no client is connected.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// Takes in what happened on one of its connections.
-    pub fn event(&mut self, event: NetEvent, hands: &mut Hand) {
+    /// Handles an event of a client connection.
+    pub fn on_event(&mut self, event: NetEvent, context: &mut CatalogueContext) {
         match event {
             NetEvent::Accepted { owner, conn, peer } => {
                 let reader = Reader::new(Side::Requests);
-                let speech = if owner == self.sru {
-                    Speech::Sru { reader, keep_alive: true, asked: None }
+                let protocol = if owner == self.sru_owner {
+                    ProtocolState::Sru { reader, keep_alive: true, pending: None }
                 } else {
-                    Speech::Z3950(Box::default())
+                    ProtocolState::Z3950(Box::default())
                 };
-                self.clients.insert(conn, Client { speech, job: None, peer });
-                self.places.take(conn, hands.now);
-                self.read(conn, hands);
-                self.make_room(hands);
+                self.clients.insert(conn, Client { protocol, job: None, peer });
+                self.slots.take(conn, context.now);
+                self.read(conn, context);
+                self.make_room(context);
             }
-            NetEvent::Readable { conn, .. } => self.read(conn, hands),
-            NetEvent::Broken { conn, .. } => self.gone(conn, hands),
+            NetEvent::Readable { conn, .. } => self.read(conn, context),
+            NetEvent::Broken { conn, .. } => self.on_closed(conn, context),
             NetEvent::Flushed { .. }
             | NetEvent::Connected { .. }
             | NetEvent::Datagrams { .. }
@@ -128,88 +133,90 @@
         }
     }
 
-    /// Closes whom the places name while there are too many.
-    fn make_room(&mut self, hands: &mut Hand) {
-        while hands.net.accepted() > self.places.most() && !hands.net.close_oldest_lingering() {
-            let Some(conn) = self.places.first_to_go() else { return };
-            // Who has asked meanwhile stays.
-            self.read(conn, hands);
-            if self.places.first_to_go() == Some(conn) {
+    /// While there are too many connections, closes the first in the order of the connection slots.
+    fn make_room(&mut self, context: &mut CatalogueContext) {
+        while context.net.accepted() > self.slots.most() && !context.net.close_oldest_lingering() {
+            let Some(conn) = self.slots.first_to_go() else { return };
+            // A connection on which a request has arrived meanwhile is kept.
+            self.read(conn, context);
+            if self.slots.first_to_go() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
-                let http = self.clients.get(&conn).is_some_and(|c| matches!(c.speech, Speech::Sru { .. }));
-                if http && self.places.may_ask(conn) {
-                    let wait = hands.engine.overloaded().retry_after;
-                    self.part_with(conn, Some(http::service_unavailable(wait)), hands);
+                let is_sru =
+                    self.clients.get(&conn).is_some_and(|c| matches!(c.protocol, ProtocolState::Sru { .. }));
+                if is_sru && self.slots.may_ask(conn) {
+                    let retry_after = context.engine.overloaded().retry_after;
+                    self.close_lingering(conn, Some(http::service_unavailable(retry_after)), context);
                 } else {
-                    self.close(conn, hands);
+                    self.close(conn, context);
                 }
             }
         }
     }
 
-    fn close(&mut self, conn: ConnId, hands: &mut Hand) {
-        hands.net.close(conn);
-        self.gone(conn, hands);
+    fn close(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        context.net.close(conn);
+        self.on_closed(conn, context);
     }
 
-    fn gone(&mut self, conn: ConnId, hands: &mut Hand) {
-        self.places.gone(conn);
+    fn on_closed(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        self.slots.gone(conn);
         if let Some((query, _)) = self.clients.remove(&conn).and_then(|c| c.job) {
-            self.waiting.remove(&query);
-            hands.engine.client_disconnected(query);
+            self.conn_by_query.remove(&query);
+            context.engine.client_disconnected(query);
         }
     }
 
-    fn read(&mut self, conn: ConnId, hands: &mut Hand) {
-        for _ in 0..READS {
-            let filled = hands.net.fill(conn);
+    fn read(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        for _ in 0..MAX_CONSECUTIVE_READS {
+            let filled = context.net.fill(conn);
             let Some(client) = self.clients.get_mut(&conn) else { return };
             match filled {
-                ReadOutcome::Read(_) => self.work(conn, hands),
-                // What a client sends ahead of its answer stays unread once the buffer is full.
+                ReadOutcome::Read(_) => self.process_input(conn, context),
+                // Requests that are pipelined behind a pending one stay unread once the buffer is full.
                 ReadOutcome::BufferFull if client.job.is_some() => return,
                 ReadOutcome::BufferFull => {
-                    self.work(conn, hands);
-                    if hands.net.data(conn).len() >= ber::MAX_APDU {
-                        return self.hang_up(conn, "a request larger than a buffer", hands);
+                    self.process_input(conn, context);
+                    if context.net.data(conn).len() >= ber::MAX_APDU {
+                        return self.close_with_warning(conn, "request exceeds the buffer size", context);
                     }
                 }
                 ReadOutcome::WouldBlock => return,
                 ReadOutcome::NoBuffer => {
-                    // Guards those who ask against those who hold the buffers with half a request.
-                    if let Some(other) = self.places.first_with_buffer(conn) {
-                        tracing::debug!("client connection closed for its buffer");
-                        self.close(other, hands);
+                    // No buffer is free: closes a connection that holds one with an incomplete request,
+                    // so that such connections can't block other clients.
+                    if let Some(other) = self.slots.first_with_buffer(conn) {
+                        tracing::debug!("client connection closed to free its buffer");
+                        self.close(other, context);
                     }
                     return;
                 }
-                ReadOutcome::Closed => return self.close(conn, hands),
+                ReadOutcome::Closed => return self.close(conn, context),
             }
             if !self.clients.contains_key(&conn) {
                 return;
             }
         }
-        hands.net.requeue_readable(conn);
+        context.net.requeue_readable(conn);
     }
 
-    fn hang_up(&mut self, conn: ConnId, why: &str, hands: &mut Hand) {
+    fn close_with_warning(&mut self, conn: ConnId, why: &str, context: &mut CatalogueContext) {
         if let Some(client) = self.clients.get(&conn) {
             tracing::warn!("client {} closed: {why}", client.peer);
         }
-        self.close(conn, hands);
+        self.close(conn, context);
     }
 
-    /// Takes requests for as long as none waits for its answer.
-    fn work(&mut self, conn: ConnId, hands: &mut Hand) {
+    /// Handles buffered requests until one is pending or the data runs out.
+    fn process_input(&mut self, conn: ConnId, context: &mut CatalogueContext) {
         loop {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.job.is_none()) else { return };
-            let reading = matches!(&client.speech, Speech::Sru { reader, .. } if !reader.is_idle());
-            if reading || !hands.net.data(conn).is_empty() {
-                self.places.reading(conn, hands.now);
+            let reading = matches!(&client.protocol, ProtocolState::Sru { reader, .. } if !reader.is_idle());
+            if reading || !context.net.data(conn).is_empty() {
+                self.slots.reading(conn, context.now);
             }
-            let more = match &mut client.speech {
-                Speech::Sru { .. } => self.work_sru(conn, hands),
-                Speech::Z3950(_) => self.work_z3950(conn, hands),
+            let more = match &mut client.protocol {
+                ProtocolState::Sru { .. } => self.process_sru(conn, context),
+                ProtocolState::Z3950(_) => self.process_z3950(conn, context),
             };
             if !more {
                 return;
@@ -219,11 +226,12 @@
 
     // ---- Z39.50 ----
 
-    fn work_z3950(&mut self, conn: ConnId, hands: &mut Hand) -> bool {
-        let Some(Client { speech: Speech::Z3950(session), peer, .. }) = self.clients.get_mut(&conn) else {
+    fn process_z3950(&mut self, conn: ConnId, context: &mut CatalogueContext) -> bool {
+        let Some(Client { protocol: ProtocolState::Z3950(session), peer, .. }) = self.clients.get_mut(&conn)
+        else {
             return false;
         };
-        let data = hands.net.data(conn);
+        let data = context.net.data(conn);
         let read =
             ber::size(data).and_then(|s| s.map(|s| Apdu::decode(&data[..s]).map(|a| (s, a))).transpose());
         let (size, apdu) = match read {
@@ -233,95 +241,96 @@
                 tracing::warn!("client {peer} closed: {e}");
                 let close = Session::close(CloseReason::ProtocolError, &e.to_string());
                 let close = session.is_open().then_some(close);
-                self.part_with(conn, close, hands);
+                self.close_lingering(conn, close, context);
                 return false;
             }
         };
-        hands.net.consume(conn, size);
-        match session.request(apdu, self.draining, hands.now, &self.told) {
-            Reply::Send(message) => self.send(conn, &message, hands),
-            Reply::Last(message) => {
-                self.last(conn, Some(message), hands);
+        context.net.consume(conn, size);
+        match session.handle_request(apdu, self.draining, context.now, &self.settings) {
+            Reply::Send(message) => self.send(conn, &message, context),
+            Reply::SendAndClose(message) => {
+                self.send_and_close(conn, Some(message), context);
                 false
             }
-            Reply::End => {
-                self.last(conn, None, hands);
+            Reply::Close => {
+                self.send_and_close(conn, None, context);
                 false
             }
-            Reply::Work(job) => {
-                self.start(conn, job, hands);
+            Reply::Run(job) => {
+                self.submit(conn, job, context);
                 true
             }
         }
     }
 
-    /// Sends a message; false if the connection had to be closed for it.
-    fn send(&mut self, conn: ConnId, message: &[u8], hands: &mut Hand) -> bool {
-        let sent = hands.net.send(conn, message).is_ok();
+    /// Sends a message. Returns false if that failed and the connection was closed.
+    fn send(&mut self, conn: ConnId, message: &[u8], context: &mut CatalogueContext) -> bool {
+        let sent = context.net.send(conn, message).is_ok();
         if sent {
-            self.places.rest(conn, hands.now);
+            self.slots.rest(conn, context.now);
         } else {
-            self.hang_up(conn, "it does not read its answers", hands);
+            self.close_with_warning(conn, "it does not read its answers", context);
         }
         sent
     }
 
-    /// Sends a last message and closes.
-    fn last(&mut self, conn: ConnId, message: Option<Vec<u8>>, hands: &mut Hand) {
+    /// Sends a last message, if any, and closes the connection once it is written.
+    fn send_and_close(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
         if let Some(message) = message {
-            let _ = hands.net.send(conn, &message);
+            let _ = context.net.send(conn, &message);
         }
-        hands.net.close_after_flush(conn);
-        self.gone(conn, hands);
+        context.net.close_after_flush(conn);
+        self.on_closed(conn, context);
     }
 
-    /// The same for a client that may be in the middle of a request.
-    fn part_with(&mut self, conn: ConnId, message: Option<Vec<u8>>, hands: &mut Hand) {
+    /// Same as `send_and_close`, for a client that may still be sending a request.
+    fn close_lingering(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
         if let Some(message) = message {
-            let _ = hands.net.send(conn, &message);
+            let _ = context.net.send(conn, &message);
         }
-        hands.net.close_lingering(conn, hands.now);
-        self.gone(conn, hands);
+        context.net.close_lingering(conn, context.now);
+        self.on_closed(conn, context);
     }
 
     // ---- SRU ----
 
-    fn work_sru(&mut self, conn: ConnId, hands: &mut Hand) -> bool {
-        let Some(Client { speech: Speech::Sru { reader, keep_alive, .. }, peer, .. }) =
+    fn process_sru(&mut self, conn: ConnId, context: &mut CatalogueContext) -> bool {
+        let Some(Client { protocol: ProtocolState::Sru { reader, keep_alive, .. }, peer, .. }) =
             self.clients.get_mut(&conn)
         else {
             return false;
         };
-        let pool = hands.net.pool().clone();
+        let pool = context.net.pool().clone();
         let before = reader.head().is_some();
-        let used = match reader.advance(hands.net.data(conn), &pool) {
+        let used = match reader.advance(context.net.data(conn), &pool) {
             Ok(used) => used,
             Err(e) => {
                 tracing::warn!("client {peer} closed: {e}");
-                self.part_with(conn, Some(http::response(e.status(), &[], false, b"")), hands);
+                self.close_lingering(conn, Some(http::response(e.status(), &[], false, b"")), context);
                 return false;
             }
         };
-        hands.net.consume(conn, used);
+        context.net.consume(conn, used);
         if reader.head().filter(|_| !before).is_some_and(|h| h.expects_continue) && !reader.is_done() {
-            let _ = hands.net.send(conn, b"HTTP/1.1 100 Continue\r\n\r\n");
+            let _ = context.net.send(conn, b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         if !reader.is_done() {
             return false;
         }
         *keep_alive = reader.head().is_some_and(|h| h.keep_alive);
-        self.request_sru(conn, hands);
+        self.handle_sru_request(conn, context);
         true
     }
 
-    fn request_sru(&mut self, conn: ConnId, hands: &mut Hand) {
-        let Some(Client { speech: Speech::Sru { reader, .. }, .. }) = self.clients.get_mut(&conn) else {
+    fn handle_sru_request(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        let Some(Client { protocol: ProtocolState::Sru { reader, .. }, .. }) = self.clients.get_mut(&conn)
+        else {
             return;
         };
         let Some(head) = reader.head() else { return };
         let is_form =
             head.header("content-type").is_none_or(|t| t.starts_with("application/x-www-form-urlencoded"));
-        let databases = &self.told.operator.database;
+        let databases = &self.settings.operator.database;
         let path = head.path().trim_start_matches('/');
         let status = match (head.method.as_str(), path) {
             ("GET", "-/ready") if self.draining => 503,
@@ -332,271 +341,291 @@
             _ => 405,
         };
         match status {
-            0 if head.method == "POST" && !is_form => return self.respond(conn, 415, &[], b"", hands),
+            0 if head.method == "POST" && !is_form => return self.respond(conn, 415, &[], b"", context),
             0 => {}
-            405 => return self.respond(conn, 405, &[("Allow", "GET, POST")], b"", hands),
-            status => return self.respond(conn, status, &[], b"", hands),
+            405 => return self.respond(conn, 405, &[("Allow", "GET, POST")], b"", context),
+            status => return self.respond(conn, status, &[], b"", context),
         }
         let database = if path.is_empty() { databases[0].name.clone() } else { path.to_owned() };
         let form = if head.method == "POST" { String::from_utf8_lossy(reader.body()) } else { "".into() };
         let parameters = sru::parameters(&head.target, &form);
         match sru::read(&parameters) {
-            Err((d, version)) => self.diagnose(conn, 200, &[], &d, version, hands),
+            Err((d, version)) => self.respond_diagnostic(conn, 200, &[], &d, version, context),
             Ok(Request::Explain { version, packing }) => {
-                let listen =
-                    self.told.operator.listener.iter().find(|l| l.protocol == crate::config::Protocol::Sru);
-                let port = listen.map_or(80, |l| l.listen.port());
+                let listener = self
+                    .settings
+                    .operator
+                    .listener
+                    .iter()
+                    .find(|l| l.protocol == crate::config::Protocol::Sru);
+                let port = listener.map_or(80, |l| l.listen.port());
                 let host = head.header("host").unwrap_or("localhost").to_owned();
                 let (host, port) = host
                     .rsplit_once(':')
                     .and_then(|(h, p)| Some((h, p.parse().ok()?)))
                     .unwrap_or((&host, port));
-                let most = self.told.operator.limits.records;
-                let body = sru::explain(version, packing, host, port, &database, most);
-                self.respond(conn, 200, &[XML], &body, hands);
+                let max_records = self.settings.operator.limits.records;
+                let body = sru::explain(version, packing, host, port, &database, max_records);
+                self.respond(conn, 200, &[XML_HEADER], &body, context);
             }
             Ok(Request::Search(s)) => {
                 use session::Catalogue;
-                let shaped = cql::parse(&s.query).and_then(|search| self.told.shape(&database, search));
-                let (shape, wait) = match shaped {
-                    Ok(shaped) => shaped,
-                    Err(d) => return self.diagnose(conn, 200, &[], &d, s.version, hands),
+                let planned =
+                    cql::parse(&s.query).and_then(|search| self.settings.plan_search(&database, search));
+                let (plan, time_limit) = match planned {
+                    Ok(planned) => planned,
+                    Err(d) => return self.respond_diagnostic(conn, 200, &[], &d, s.version, context),
                 };
-                // A client may say that it waits for less long than its class does.
-                let told = parameters.iter().find(|(n, _)| n == "x-deadline-ms");
-                let wait = match told.map(|(_, v)| v.parse::<u64>()) {
-                    None => wait,
-                    Some(Ok(ms)) => wait.min(ms.saturating_mul(1_000_000)),
+                // A client may request a shorter time limit than that of its class.
+                let requested = parameters.iter().find(|(n, _)| n == "x-deadline-ms");
+                let time_limit = match requested.map(|(_, v)| v.parse::<u64>()) {
+                    None => time_limit,
+                    Some(Ok(ms)) => time_limit.min(ms.saturating_mul(1_000_000)),
                     Some(Err(_)) => {
                         let d = Diagnostic::new(Trouble::UnsupportedParameterValue, "x-deadline-ms");
-                        return self.diagnose(conn, 200, &[], &d, s.version, hands);
+                        return self.respond_diagnostic(conn, 200, &[], &d, s.version, context);
                     }
                 };
-                let most = self.told.most_records();
-                let count = s.maximum.unwrap_or(DEFAULT_RECORDS).min(most);
-                let job = Job::search(shape, s.start, count, hands.now + wait);
-                if let Some(Client { speech: Speech::Sru { asked, .. }, .. }) = self.clients.get_mut(&conn) {
-                    *asked = Some(Asked { version: s.version, packing: s.packing, start: s.start });
+                let max_records = self.settings.max_records();
+                let count = s.maximum.unwrap_or(DEFAULT_RECORDS).min(max_records);
+                let job = Job::search(plan, s.start, count, context.now + time_limit);
+                if let Some(Client { protocol: ProtocolState::Sru { pending, .. }, .. }) =
+                    self.clients.get_mut(&conn)
+                {
+                    *pending = Some(PendingSearch { version: s.version, packing: s.packing, start: s.start });
                 }
-                self.start(conn, job, hands);
+                self.submit(conn, job, context);
             }
         }
     }
 
-    fn diagnose(
+    fn respond_diagnostic(
         &mut self,
         conn: ConnId,
         status: u16,
         headers: &[(&str, &str)],
         d: &Diagnostic,
         version: &str,
-        hands: &mut Hand,
+        context: &mut CatalogueContext,
     ) {
         let response = sru::Response { diagnostics: vec![d.clone()], ..sru::Response::default() };
         let body = sru::write(&response, version, Packing::Xml, 1);
-        let headers: Vec<(&str, &str)> = headers.iter().copied().chain([XML]).collect();
-        self.respond(conn, status, &headers, &body, hands);
+        let headers: Vec<(&str, &str)> = headers.iter().copied().chain([XML_HEADER]).collect();
+        self.respond(conn, status, &headers, &body, context);
     }
 
-    /// Writes an HTTP response and makes ready for the next request.
+    /// Sends an HTTP response and resets the reader for the next request.
     fn respond(
         &mut self,
         conn: ConnId,
         status: u16,
         headers: &[(&str, &str)],
         body: &[u8],
-        hands: &mut Hand,
+        context: &mut CatalogueContext,
     ) {
-        let Some(Client { speech: Speech::Sru { reader, keep_alive, asked }, .. }) =
+        let Some(Client { protocol: ProtocolState::Sru { reader, keep_alive, pending }, .. }) =
             self.clients.get_mut(&conn)
         else {
             return;
         };
         reader.reset();
-        *asked = None;
-        let keep = *keep_alive && !self.leaving;
+        *pending = None;
+        let keep = *keep_alive && !self.closing;
         let message = http::response(status, headers, keep, body);
         if keep {
-            self.send(conn, &message, hands);
+            self.send(conn, &message, context);
         } else {
-            self.last(conn, Some(message), hands);
+            self.send_and_close(conn, Some(message), context);
         }
     }
 
     // ---- jobs ----
 
-    fn start(&mut self, conn: ConnId, job: Job, hands: &mut Hand) {
-        let ask = job.ask(hands.now);
-        match hands.engine.submit(hands.now, ask) {
+    fn submit(&mut self, conn: ConnId, job: Job, context: &mut CatalogueContext) {
+        let request = job.ask(context.now);
+        match context.engine.submit(context.now, request) {
             Ok(query) => {
-                self.waiting.insert(query, conn);
-                self.places.open(conn);
+                self.conn_by_query.insert(query, conn);
+                self.slots.open(conn);
                 if let Some(client) = self.clients.get_mut(&conn) {
                     client.job = Some((query, job));
                 }
             }
-            Err(refused) => {
-                tracing::info!("query refused: as many are open as may be");
-                self.refused(conn, refused.retry_after, hands);
+            Err(rejected) => {
+                tracing::info!("query rejected: the limit on open queries is reached");
+                self.reject(conn, rejected.retry_after, context);
             }
         }
     }
 
-    /// Takes the final answer to a query: the client's own answer, or the next query for it.
-    pub fn finish(&mut self, query: QueryId, answer: QueryOutcome<PartValue>, hands: &mut Hand) {
-        let Some(conn) = self.waiting.remove(&query) else { return };
+    /// Handles the final outcome of a query: sends the response, or submits the job's next query.
+    pub fn on_query_outcome(
+        &mut self,
+        query: QueryId,
+        answer: QueryOutcome<PartValue>,
+        context: &mut CatalogueContext,
+    ) {
+        let Some(conn) = self.conn_by_query.remove(&query) else { return };
         let Some(client) = self.clients.get_mut(&conn) else { return };
         let Some((_, mut job)) = client.job.take() else { return };
         match answer {
-            QueryOutcome::Rejected { retry_after: wait } => self.refused(conn, wait, hands),
+            QueryOutcome::Rejected { retry_after } => self.reject(conn, retry_after, context),
             QueryOutcome::Failed => {
                 let d = Diagnostic::new(Trouble::OutOfTime, "no answer in time");
-                self.failed(conn, 504, &[], d, hands);
+                self.fail(conn, 504, &[], d, context);
             }
             QueryOutcome::Answered(answered) => match job.answered(answered) {
-                Next::Ask => self.start(conn, job, hands),
-                Next::Refused(d) => self.failed(conn, 200, &[], d, hands),
-                Next::Done(outcome) => self.done(conn, job.shape(), outcome, hands),
+                Next::Ask => self.submit(conn, job, context),
+                Next::Refused(d) => self.fail(conn, 200, &[], d, context),
+                Next::Done(outcome) => self.complete(conn, job.shape(), outcome, context),
             },
         }
-        // What the client sent ahead is read now.
-        self.work(conn, hands);
+        // Pipelined requests are handled now.
+        self.process_input(conn, context);
         if self.clients.contains_key(&conn) {
-            self.read(conn, hands);
+            self.read(conn, context);
         }
     }
 
-    fn refused(&mut self, conn: ConnId, wait: Nanos, hands: &mut Hand) {
-        let text = http::retry_after(wait);
+    fn reject(&mut self, conn: ConnId, retry_after: Nanos, context: &mut CatalogueContext) {
+        let text = http::retry_after(retry_after);
         let d = Diagnostic::new(Trouble::TemporarilyUnavailable, format!("ask again after {text} s"));
-        let headers: &[(&str, &str)] = if wait > 0 { &[("Retry-After", &text)] } else { &[] };
-        self.failed(conn, 503, headers, d, hands);
+        let headers: &[(&str, &str)] = if retry_after > 0 { &[("Retry-After", &text)] } else { &[] };
+        self.fail(conn, 503, headers, d, context);
     }
 
-    fn failed(
+    fn fail(
         &mut self,
         conn: ConnId,
         status: u16,
         headers: &[(&str, &str)],
         d: Diagnostic,
-        hands: &mut Hand,
+        context: &mut CatalogueContext,
     ) {
-        let message = match self.clients.get_mut(&conn).map(|c| &mut c.speech) {
+        let message = match self.clients.get_mut(&conn).map(|c| &mut c.protocol) {
             None => return,
-            Some(Speech::Sru { asked, .. }) => {
-                let version = asked.as_ref().map_or("1.2", |a| a.version);
-                return self.diagnose(conn, status, headers, &d, version, hands);
+            Some(ProtocolState::Sru { pending, .. }) => {
+                let version = pending.as_ref().map_or("1.2", |p| p.version);
+                return self.respond_diagnostic(conn, status, headers, &d, version, context);
             }
-            Some(Speech::Z3950(session)) => session.failed(d),
+            Some(ProtocolState::Z3950(session)) => session.job_failed(d),
         };
-        self.answer_z3950(conn, message, hands);
+        self.respond_z3950(conn, message, context);
     }
 
-    fn done(&mut self, conn: ConnId, shape: &Shape, outcome: Outcome, hands: &mut Hand) {
-        let message = match self.clients.get_mut(&conn).map(|c| &mut c.speech) {
+    fn complete(&mut self, conn: ConnId, plan: &Shape, outcome: Outcome, context: &mut CatalogueContext) {
+        let message = match self.clients.get_mut(&conn).map(|c| &mut c.protocol) {
             None => return,
-            Some(Speech::Sru { asked, .. }) => {
-                let Some(Asked { version, packing, start }) = asked.take() else { return };
-                let body = respond_search(outcome, version, packing, start);
-                return self.respond(conn, 200, &[XML], &body, hands);
+            Some(ProtocolState::Sru { pending, .. }) => {
+                let Some(PendingSearch { version, packing, start }) = pending.take() else { return };
+                let body = search_response(outcome, version, packing, start);
+                return self.respond(conn, 200, &[XML_HEADER], &body, context);
             }
-            Some(Speech::Z3950(session)) => session.done(shape, outcome),
+            Some(ProtocolState::Z3950(session)) => session.job_done(plan, outcome),
         };
-        self.answer_z3950(conn, message, hands);
+        self.respond_z3950(conn, message, context);
     }
 
-    fn answer_z3950(&mut self, conn: ConnId, message: Option<Vec<u8>>, hands: &mut Hand) {
+    fn respond_z3950(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
         let Some(message) = message else { return };
-        if self.send(conn, &message, hands) && self.leaving {
-            self.last(conn, Some(Session::close(CloseReason::Shutdown, "this broker ends")), hands);
+        if self.send(conn, &message, context) && self.closing {
+            self.send_and_close(
+                conn,
+                Some(Session::close(CloseReason::Shutdown, "this broker ends")),
+                context,
+            );
         }
     }
 
-    // ---- time ----
+    // ---- limits, drain and timers ----
 
-    /// From now on there are so many places.
-    pub fn keep_to(&mut self, most: usize) {
-        self.places.keep_to(most, most);
+    /// Sets the limit on client connections.
+    pub fn set_connection_limit(&mut self, max_clients: usize) {
+        self.slots.keep_to(max_clients, max_clients);
     }
 
-    /// The classes' names in the order of the settings.
+    /// Names of the query classes, in the order of the settings.
     pub fn class_names(&self) -> Vec<String> {
-        self.told.operator.class.iter().map(|c| c.name.clone()).collect()
+        self.settings.operator.class.iter().map(|c| c.name.clone()).collect()
     }
 
-    /// Whether it is ready, for those who ask; if not, no session is opened.
-    pub fn ready(&mut self, ready: bool) {
+    /// Sets the result of readiness checks. While it is false, new Z39.50 sessions are rejected.
+    pub fn set_ready(&mut self, ready: bool) {
         self.draining = !ready;
     }
 
-    /// Whether answers say that their connection ends.
-    pub fn last_answers(&mut self, last: bool) {
-        self.leaving = last;
+    /// Sets whether each response is the last on its connection.
+    pub fn set_closing(&mut self, closing: bool) {
+        self.closing = closing;
     }
 
-    /// Ends sessions that ask for nothing, once this broker is to end.
-    pub fn close_sessions(&mut self, hands: &mut Hand) {
-        let open = |c: &Client| matches!(&c.speech, Speech::Z3950(s) if s.is_open());
+    /// Closes Z39.50 sessions without a pending request, once responses are the last on their connections.
+    pub fn close_sessions(&mut self, context: &mut CatalogueContext) {
+        let open = |c: &Client| matches!(&c.protocol, ProtocolState::Z3950(s) if s.is_open());
         let idle: Vec<ConnId> =
             self.clients.iter().filter(|(_, c)| open(c) && c.job.is_none()).map(|(conn, _)| *conn).collect();
         for conn in idle {
-            // A request that came before the word to end is still taken.
-            self.read(conn, hands);
+            // A request that arrived before the close is still handled.
+            self.read(conn, context);
             if self.clients.get(&conn).is_some_and(|c| c.job.is_none()) {
-                self.last(conn, Some(Session::close(CloseReason::Shutdown, "this broker ends")), hands);
+                self.send_and_close(
+                    conn,
+                    Some(Session::close(CloseReason::Shutdown, "this broker ends")),
+                    context,
+                );
             }
         }
     }
 
-    /// Reads once more whatever has come, then closes connections that ask for nothing.
-    pub fn close_idle(&mut self, hands: &mut Hand) {
+    /// Closes connections without a pending request, after reading once more what has arrived.
+    pub fn close_idle(&mut self, context: &mut CatalogueContext) {
         let conns: Vec<ConnId> = self.clients.keys().copied().collect();
         for conn in conns {
-            self.read(conn, hands);
-            let idle = |c: &Client| match &c.speech {
-                Speech::Sru { reader, .. } => c.job.is_none() && reader.is_idle(),
-                Speech::Z3950(_) => c.job.is_none(),
+            self.read(conn, context);
+            let idle = |c: &Client| match &c.protocol {
+                ProtocolState::Sru { reader, .. } => c.job.is_none() && reader.is_idle(),
+                ProtocolState::Z3950(_) => c.job.is_none(),
             };
-            if !self.places.is_fresh(conn, hands.now) && self.clients.get(&conn).is_some_and(idle) {
-                self.last(conn, None, hands);
+            if !self.slots.is_fresh(conn, context.now) && self.clients.get(&conn).is_some_and(idle) {
+                self.send_and_close(conn, None, context);
             }
         }
     }
 
-    /// Closes connections on which nothing moves.
-    pub fn tick(&mut self, hands: &mut Hand) {
-        if self.leaving {
-            self.close_sessions(hands);
+    /// Closes connections that are over their time limit, or over the limit on connections.
+    pub fn tick(&mut self, context: &mut CatalogueContext) {
+        if self.closing {
+            self.close_sessions(context);
         }
-        // Who was answered meanwhile may have to go for those that wait to be accepted.
-        self.make_room(hands);
-        while let Some(conn) = self.places.overdue(hands.now) {
-            let Some(client) = self.clients.get(&conn) else { return self.places.gone(conn) };
-            tracing::info!("client {} closed: nothing came for too long", client.peer);
-            let message = match &client.speech {
-                Speech::Z3950(s) => {
+        // Connections that have become idle may have to be closed for those that wait to be accepted.
+        self.make_room(context);
+        while let Some(conn) = self.slots.overdue(context.now) {
+            let Some(client) = self.clients.get(&conn) else { return self.slots.gone(conn) };
+            tracing::info!("client {} closed: no request within the time limit", client.peer);
+            let message = match &client.protocol {
+                ProtocolState::Z3950(s) => {
                     s.is_open().then(|| Session::close(CloseReason::LackOfActivity, "nothing came"))
                 }
-                Speech::Sru { reader, .. } => {
-                    let some = !reader.is_idle() || !hands.net.data(conn).is_empty();
-                    some.then(|| http::response(408, &[], false, b""))
+                ProtocolState::Sru { reader, .. } => {
+                    let has_input = !reader.is_idle() || !context.net.data(conn).is_empty();
+                    has_input.then(|| http::response(408, &[], false, b""))
                 }
             };
-            self.part_with(conn, message, hands);
+            self.close_lingering(conn, message, context);
         }
     }
 
     /// When `tick` is next worth calling.
-    pub fn due(&self) -> Option<Nanos> {
-        self.places.due()
+    pub fn next_deadline(&self) -> Option<Nanos> {
+        self.slots.due()
     }
 }
 
-/// Records in an answer where the client names no number.
+/// Most records in a response if the client gives no maximum.
 const DEFAULT_RECORDS: u64 = 10;
-const XML: (&str, &str) = ("Content-Type", "text/xml; charset=utf-8");
+const XML_HEADER: (&str, &str) = ("Content-Type", "text/xml; charset=utf-8");
 
-fn respond_search(outcome: Outcome, version: &str, packing: Packing, start: u64) -> Vec<u8> {
+fn search_response(outcome: Outcome, version: &str, packing: Packing, start: u64) -> Vec<u8> {
     let total = outcome.counts.total();
     let next = start.saturating_add(outcome.items.len() as u64);
     let mut diagnostics: Vec<Diagnostic> = outcome.counts.diagnostic().into_iter().collect();
--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -255,7 +255,7 @@
         match event.owner() {
             Some(NODES) => self.nodes.event(event, hands),
             Some(ROSTER) => self.membership.on_event(event, hands.now, hands.net),
-            Some(_) => self.clients.event(event, hands),
+            Some(_) => self.clients.on_event(event, hands),
             None => {}
         }
     }
@@ -280,25 +280,27 @@
             EngineAction::CancelAttempt { replica, attempt } => {
                 self.nodes.give_up(replica, attempt, hands.now)
             }
-            EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, hands),
+            EngineAction::Respond { query, outcome: answer } => {
+                self.clients.on_query_outcome(query, answer, hands)
+            }
             // Membership itself asks for the list, and nodes are not probed.
             EngineAction::WatchEndpoints | EngineAction::HealthCheck { .. } => {}
         }
     }
 
     fn next_deadline(&self) -> Option<Nanos> {
-        [self.nodes.due(), self.clients.due(), self.membership.next_deadline(), self.files.due()]
+        [self.nodes.due(), self.clients.next_deadline(), self.membership.next_deadline(), self.files.due()]
             .into_iter()
             .flatten()
             .min()
     }
 
     fn set_ready(&mut self, ready: bool) {
-        self.clients.ready(ready);
+        self.clients.set_ready(ready);
     }
 
     fn set_drain_phase(&mut self, step: DrainPhase) {
-        self.clients.last_answers(step >= DrainPhase::ClosingAfterAnswer);
+        self.clients.set_closing(step >= DrainPhase::ClosingAfterAnswer);
     }
 
     /// The file of nodes alone may change while the broker serves; all else holds from the start to the end.
@@ -340,7 +342,7 @@
         let to_nodes = (self.nodes.links() + rest / 2).min(self.most_to_nodes);
         let clients = net.accepted() + rest - (to_nodes - self.nodes.links()).min(rest);
         self.nodes.keep_to(to_nodes.max(1));
-        self.clients.keep_to(clients);
+        self.clients.set_connection_limit(clients);
         net.set_accepted_limit(clients);
     }
 
--- a/src/frontends/catalogue/session.rs
+++ b/src/frontends/catalogue/session.rs
@@ -1,4 +1,4 @@
-//! A Z39.50 session: what its client may ask for, its result sets, and the answers.
+//! A Z39.50 session with a client: its requests, result sets and responses.
 
 use super::apdu::*;
 use super::diagnostic::{Diagnostic, Trouble};
@@ -11,33 +11,34 @@
 use crate::api::Nanos;
 use std::collections::BTreeMap;
 
-/// Least size of a message that is kept to, whatever a client prefers.
-const LEAST_MESSAGE: usize = 4 * 1024;
-/// Largest message that is sent.
-const LARGEST_MESSAGE: usize = 512 * 1024;
+/// Smallest message size that is agreed on, even if a client prefers a smaller one.
+const MIN_MESSAGE_BYTES: usize = 4 * 1024;
+/// Largest message size that is agreed on.
+const MAX_MESSAGE_BYTES: usize = 512 * 1024;
 /// Longest name of a result set.
-const LONGEST_NAME: usize = 128;
+const MAX_SET_NAME_BYTES: usize = 128;
 
-/// What a session is told about the catalogue.
+/// The catalogue's settings that a session needs.
 pub trait Catalogue {
-    /// How a search in a database is put to the nodes, and how long its clients wait.
-    fn shape(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic>;
-    /// Most records in one answer.
-    fn most_records(&self) -> u64;
-    /// Most result sets.
-    fn most_sets(&self) -> usize;
+    /// How a search in a database is sent to the nodes, and the time limit for its response.
+    fn plan_search(&self, database: &str, search: Search) -> Result<(Shape, Nanos), Diagnostic>;
+    /// Most records in one response.
+    fn max_records(&self) -> u64;
+    /// Most result sets of a session.
+    fn max_result_sets(&self) -> usize;
 }
 
 #[derive(Clone, Debug)]
 struct ResultSet {
-    shape: Shape,
+    plan: Shape,
     counts: Counts,
-    wait: Nanos,
+    time_limit: Nanos,
 }
 
+/// The request whose response waits for a job.
 #[derive(Debug)]
 enum Pending {
-    Search { request: SearchRequest, syntax: Syntax, wait: Nanos },
+    Search { request: SearchRequest, syntax: Syntax, time_limit: Nanos },
     Present { reference: Reference, start: u64, syntax: Syntax },
 }
 
@@ -47,33 +48,33 @@
     Xml,
 }
 
-/// What a request leads to.
+/// How a request is to be answered.
 #[derive(Debug)]
 pub enum Reply {
-    /// This is sent.
+    /// Sends this message.
     Send(Vec<u8>),
-    /// This is sent, and the session ends.
-    Last(Vec<u8>),
-    /// The session ends.
-    End,
-    /// The answer waits for this job.
-    Work(Job),
+    /// Sends this message, then closes the connection.
+    SendAndClose(Vec<u8>),
+    /// Closes the connection.
+    Close,
+    /// Runs this job. Its result is the response.
+    Run(Job),
 }
 
-/// A session.
+/// The state of a session.
 #[derive(Debug, Default)]
 pub struct Session {
     open: bool,
-    /// Version 3 was agreed on.
+    /// Whether protocol version 3 was negotiated.
     version3: bool,
-    message: usize,
+    message_size: usize,
     largest_record: usize,
     sets: BTreeMap<String, ResultSet>,
     pending: Option<Pending>,
 }
 
 impl Session {
-    /// Init was answered.
+    /// Whether an Init request was accepted.
     pub fn is_open(&self) -> bool {
         self.open
     }
@@ -83,14 +84,20 @@
         Apdu::Close { reference: None, reason: reason as i64, words: words.into() }.encode()
     }
 
-    /// Takes a request. No other may be given before its answer is out.
-    pub fn request(&mut self, apdu: Apdu, draining: bool, now: Nanos, catalogue: &impl Catalogue) -> Reply {
-        let protocol = |words| Reply::Last(Session::close(CloseReason::ProtocolError, words));
+    /// Handles a request. The next one must not be passed before the response to this one is sent.
+    pub fn handle_request(
+        &mut self,
+        apdu: Apdu,
+        draining: bool,
+        now: Nanos,
+        catalogue: &impl Catalogue,
+    ) -> Reply {
+        let protocol_error = |words| Reply::SendAndClose(Session::close(CloseReason::ProtocolError, words));
         match apdu {
             Apdu::InitRequest(r) if !self.open => self.init(r, draining),
-            Apdu::Close { .. } if self.open => Reply::Last(Session::close(CloseReason::Finished, "")),
-            Apdu::Close { .. } => Reply::End,
-            _ if !self.open => protocol("Init comes first"),
+            Apdu::Close { .. } if self.open => Reply::SendAndClose(Session::close(CloseReason::Finished, "")),
+            Apdu::Close { .. } => Reply::Close,
+            _ if !self.open => protocol_error("Init comes first"),
             Apdu::SearchRequest(r) => self.search(r, now, catalogue),
             Apdu::PresentRequest(r) => self.present(r, now, catalogue),
             Apdu::DeleteRequest { reference, sets } => {
@@ -106,46 +113,47 @@
             }
             Apdu::Other { reference, tag } => match Apdu::unsupported(tag, &reference) {
                 Some(answer) => Reply::Send(answer),
-                None => protocol("a service that was not agreed on"),
+                None => protocol_error("a service that was not agreed on"),
             },
-            _ => protocol("not a request that a client makes"),
+            _ => protocol_error("not a request that a client makes"),
         }
     }
 
     fn init(&mut self, r: InitRequest, draining: bool) -> Reply {
-        let both = |a: &[u8], b: &[u8]| a.iter().zip(b).map(|(a, b)| a & b).collect::<Vec<u8>>();
-        let size = |n: i64| usize::try_from(n).unwrap_or(0).clamp(LEAST_MESSAGE, LARGEST_MESSAGE);
-        let versions = both(&r.versions, &VERSIONS);
-        // Version 2 is the least that has what is offered here.
+        let intersect = |a: &[u8], b: &[u8]| a.iter().zip(b).map(|(a, b)| a & b).collect::<Vec<u8>>();
+        let agree_size = |n: i64| usize::try_from(n).unwrap_or(0).clamp(MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES);
+        let versions = intersect(&r.versions, &VERSIONS);
+        // The services offered here need version 2 or later.
         let accepted = !draining && versions.first().is_some_and(|v| v & 0b0110_0000 != 0);
         self.version3 = versions.first().is_some_and(|v| v & 0b0010_0000 != 0);
-        (self.message, self.largest_record) = (size(r.preferred_size), size(r.largest_record));
+        (self.message_size, self.largest_record) =
+            (agree_size(r.preferred_size), agree_size(r.largest_record));
         let response = Apdu::InitResponse(InitResponse {
             reference: r.reference,
             versions,
-            options: both(&r.options, &OPTIONS),
-            preferred_size: self.message as i64,
+            options: intersect(&r.options, &OPTIONS),
+            preferred_size: self.message_size as i64,
             largest_record: self.largest_record as i64,
             accepted,
         });
         self.open = accepted;
-        if accepted { Reply::Send(response.encode()) } else { Reply::Last(response.encode()) }
+        if accepted { Reply::Send(response.encode()) } else { Reply::SendAndClose(response.encode()) }
     }
 
     fn search(&mut self, r: SearchRequest, now: Nanos, catalogue: &impl Catalogue) -> Reply {
         match self.begin_search(&r, catalogue) {
             Err(d) => {
-                // A search that failed leaves no set under its name.
+                // A failed search leaves no result set under its name.
                 if r.replace {
                     self.sets.remove(&r.result_set);
                 }
-                Reply::Send(self.write(search_failed(r.reference, d)))
+                Reply::Send(self.encode(search_failure(r.reference, d)))
             }
-            Ok((shape, wait, syntax)) => {
-                let ahead = r.small_upper.max(r.medium_number).max(0) as u64;
-                let count = ahead.min(catalogue.most_records());
-                self.pending = Some(Pending::Search { request: r, syntax, wait });
-                Reply::Work(Job::search(shape, 1, count, now + wait))
+            Ok((plan, time_limit, syntax)) => {
+                let requested = r.small_upper.max(r.medium_number).max(0) as u64;
+                let count = requested.min(catalogue.max_records());
+                self.pending = Some(Pending::Search { request: r, syntax, time_limit });
+                Reply::Run(Job::search(plan, 1, count, now + time_limit))
             }
         }
     }
@@ -159,27 +167,29 @@
         let [database] = &r.databases[..] else {
             return fail(Trouble::TooManyDatabases, &r.databases.len().to_string());
         };
-        let known = self.sets.contains_key(&r.result_set);
-        if known && !r.replace {
+        let exists = self.sets.contains_key(&r.result_set);
+        if exists && !r.replace {
             return fail(Trouble::ResultSetExists, &r.result_set);
         }
-        if r.result_set.len() > LONGEST_NAME || (!known && self.sets.len() >= catalogue.most_sets()) {
-            return fail(Trouble::TooManyResultSets, &catalogue.most_sets().to_string());
+        if r.result_set.len() > MAX_SET_NAME_BYTES
+            || (!exists && self.sets.len() >= catalogue.max_result_sets())
+        {
+            return fail(Trouble::TooManyResultSets, &catalogue.max_result_sets().to_string());
         }
-        let syntax = syntax(&r.syntax)?;
-        let stored = |name: &str| self.sets.get(name).map(|s| s.shape.search.as_ref().clone());
+        let syntax = parse_syntax(&r.syntax)?;
+        let stored = |name: &str| self.sets.get(name).map(|s| s.plan.search.as_ref().clone());
         let search = match &r.query {
             Query::Rpn(content) => rpn::read(content, &stored)?,
             Query::Cql(text) => cql::parse(text)?,
             Query::Other(tag) => return fail(Trouble::UnsupportedQueryType, &tag.to_string()),
         };
-        let (shape, wait) = catalogue.shape(database, search)?;
-        Ok((shape, wait, syntax))
+        let (plan, time_limit) = catalogue.plan_search(database, search)?;
+        Ok((plan, time_limit, syntax))
     }
 
     fn present(&mut self, r: PresentRequest, now: Nanos, catalogue: &impl Catalogue) -> Reply {
         let fail = |trouble, details: String| {
-            Reply::Send(self.write(present_failed(r.reference.clone(), Diagnostic::new(trouble, details))))
+            Reply::Send(self.encode(present_failure(r.reference.clone(), Diagnostic::new(trouble, details))))
         };
         let Some(set) = self.sets.get(&r.result_set) else {
             return fail(Trouble::NoSuchResultSet, r.result_set);
@@ -187,9 +197,9 @@
         if r.complex {
             return fail(Trouble::UnsupportedOperation, "ranges or a complex composition".into());
         }
-        let syntax = match syntax(&r.syntax) {
+        let syntax = match parse_syntax(&r.syntax) {
             Ok(syntax) => syntax,
-            Err(d) => return Reply::Send(self.write(present_failed(r.reference, d))),
+            Err(d) => return Reply::Send(self.encode(present_failure(r.reference, d))),
         };
         let total = set.counts.total();
         let (start, number) = (u64::try_from(r.start).unwrap_or(0), u64::try_from(r.number).unwrap_or(0));
@@ -201,18 +211,18 @@
             let answer = PresentResponse { reference: r.reference, next: r.start, status: 0, records };
             return Reply::Send(Apdu::PresentResponse(answer).encode());
         }
-        let count = number.min(catalogue.most_records());
-        let job = Job::fetch(set.shape.clone(), set.counts.clone(), start, count, now + set.wait);
+        let count = number.min(catalogue.max_records());
+        let job = Job::fetch(set.plan.clone(), set.counts.clone(), start, count, now + set.time_limit);
         self.pending = Some(Pending::Present { reference: r.reference, start, syntax });
-        Reply::Work(job)
+        Reply::Run(job)
     }
 
-    /// The answer to the request whose job is done.
-    pub fn done(&mut self, shape: &Shape, outcome: Outcome) -> Option<Vec<u8>> {
+    /// The response to the pending request, whose job is done.
+    pub fn job_done(&mut self, plan: &Shape, outcome: Outcome) -> Option<Vec<u8>> {
         match self.pending.take()? {
-            Pending::Search { request: r, syntax, wait } => {
+            Pending::Search { request: r, syntax, time_limit } => {
                 let (total, partial) = (outcome.counts.total(), outcome.counts.diagnostic());
-                let set = ResultSet { shape: shape.clone(), counts: outcome.counts, wait };
+                let set = ResultSet { plan: plan.clone(), counts: outcome.counts, time_limit };
                 self.sets.insert(r.result_set, set);
                 let count = total.min(i64::MAX as u64) as i64;
                 let mut answer = SearchResponse {
@@ -225,10 +235,10 @@
                     records: Records::None,
                 };
                 if let Some(d) = partial {
-                    // A valid subset: the records that were found can be presented.
+                    // Status 1, a valid subset: the records that were found can be presented.
                     (answer.success, answer.set_status) = (false, Some(1));
                     answer.records = Records::Diagnostic(d);
-                    return Some(self.write(Apdu::SearchResponse(answer)));
+                    return Some(self.encode(Apdu::SearchResponse(answer)));
                 }
                 let wanted = match count {
                     0 => 0,
@@ -238,50 +248,51 @@
                 };
                 if wanted > 0 {
                     let items = outcome.items.into_iter().take(wanted as usize).collect();
-                    let (records, cut) = self.pack(items, syntax);
+                    let (records, truncated) = self.pack(items, syntax);
                     answer.next = if records.len() as i64 == count { 0 } else { records.len() as i64 + 1 };
-                    answer.present_status = Some(if cut || (records.len() as i64) < wanted { 2 } else { 0 });
+                    answer.present_status =
+                        Some(if truncated || (records.len() as i64) < wanted { 2 } else { 0 });
                     answer.records = records;
                 }
-                Some(self.write(Apdu::SearchResponse(answer)))
+                Some(self.encode(Apdu::SearchResponse(answer)))
             }
             Pending::Present { reference, start, syntax } => {
-                let asked = outcome.items.len();
-                let (records, cut) = self.pack(outcome.items, syntax);
+                let requested = outcome.items.len();
+                let (records, truncated) = self.pack(outcome.items, syntax);
                 let next = start + records.len() as u64;
                 let next = if next > outcome.counts.total() { 0 } else { next as i64 };
-                let status = if cut || records.len() < asked { 2 } else { 0 };
-                Some(self.write(Apdu::PresentResponse(PresentResponse { reference, next, status, records })))
+                let status = if truncated || records.len() < requested { 2 } else { 0 };
+                Some(self.encode(Apdu::PresentResponse(PresentResponse { reference, next, status, records })))
             }
         }
     }
 
-    /// The answer to the request whose job failed.
-    pub fn failed(&mut self, d: Diagnostic) -> Option<Vec<u8>> {
+    /// The response to the pending request, whose job failed.
+    pub fn job_failed(&mut self, d: Diagnostic) -> Option<Vec<u8>> {
         Some(match self.pending.take()? {
             Pending::Search { request: r, .. } => {
                 if r.replace {
                     self.sets.remove(&r.result_set);
                 }
-                self.write(search_failed(r.reference, d))
+                self.encode(search_failure(r.reference, d))
             }
-            Pending::Present { reference, .. } => self.write(present_failed(reference, d)),
+            Pending::Present { reference, .. } => self.encode(present_failure(reference, d)),
         })
     }
 
-    fn write(&self, apdu: Apdu) -> Vec<u8> {
+    fn encode(&self, apdu: Apdu) -> Vec<u8> {
         if self.version3 { apdu.encode() } else { apdu.encode_v2() }
     }
 
-    /// As many records as fit into a message; true if there are more.
+    /// As many records as fit into a message, and whether any were left out.
     fn pack(&self, items: Vec<Item>, syntax: Syntax) -> (Records, bool) {
         let (mut out, mut size) = (Vec::new(), 0);
         for item in items {
-            let mut r = retrieved(item, syntax);
+            let mut r = to_retrieved(item, syntax);
             if r.size() > self.largest_record {
                 r = Retrieved::Diagnostic(Diagnostic::new(Trouble::RecordTooLarge, r.size().to_string()));
             }
-            if !out.is_empty() && size + r.size() > self.message {
+            if !out.is_empty() && size + r.size() > self.message_size {
                 return (Records::Some(out), true);
             }
             size += r.size();
@@ -291,7 +302,7 @@
     }
 }
 
-fn syntax(oid: &Option<String>) -> Result<Syntax, Diagnostic> {
+fn parse_syntax(oid: &Option<String>) -> Result<Syntax, Diagnostic> {
     match oid.as_deref() {
         None | Some(USMARC) => Ok(Syntax::Marc),
         Some(XML) => Ok(Syntax::Xml),
@@ -299,20 +310,20 @@
     }
 }
 
-fn retrieved(item: Item, syntax: Syntax) -> Retrieved {
-    let written = |r: &Record| match syntax {
+fn to_retrieved(item: Item, syntax: Syntax) -> Retrieved {
+    let encode = |r: &Record| match syntax {
         Syntax::Marc => r.to_iso2709().map(|bytes| Retrieved::Record { syntax: USMARC.into(), bytes }),
         Syntax::Xml => Ok(Retrieved::Record { syntax: XML.into(), bytes: r.to_marcxml().into_bytes() }),
     };
     match item {
         Item::Diagnostic(d) => Retrieved::Diagnostic(d),
-        Item::Record(r) => written(&r).unwrap_or_else(|e| {
+        Item::Record(r) => encode(&r).unwrap_or_else(|e| {
             Retrieved::Diagnostic(Diagnostic::new(Trouble::RecordNotInSchema, e.to_string()))
         }),
     }
 }
 
-fn search_failed(reference: Reference, d: Diagnostic) -> Apdu {
+fn search_failure(reference: Reference, d: Diagnostic) -> Apdu {
     let (set_status, records) = (Some(3), Records::Diagnostic(d));
     let answer = SearchResponse {
         reference,
@@ -326,6 +337,6 @@
     Apdu::SearchResponse(answer)
 }
 
-fn present_failed(reference: Reference, d: Diagnostic) -> Apdu {
+fn present_failure(reference: Reference, d: Diagnostic) -> Apdu {
     Apdu::PresentResponse(PresentResponse { reference, next: 0, status: 5, records: Records::Diagnostic(d) })
 }
