--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -217,7 +217,7 @@
         PollLoop::new(Pool::with_byte_limit(BUFFERS), most - to_nodes).map_err(BrokerError::io("poll"))?;
     let mut nodes = Nodes::new(NODES, &told.partitions.database, told.limits.clone(), to_nodes);
     let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.propagate_changes(&mut hands, |c| nodes.place(c));
+    membership.propagate_changes(&mut hands, |c| nodes.update_node(c));
     // The list of nodes is in before the first client can come.
     exchange.advance(now);
     let mut listening = Vec::new();
@@ -253,7 +253,7 @@
 
     fn on_event(&mut self, event: NetEvent, hands: &mut FrontendContext<Sought, PartValue>) {
         match event.owner() {
-            Some(NODES) => self.nodes.event(event, hands),
+            Some(NODES) => self.nodes.on_event(event, hands),
             Some(ROSTER) => self.membership.on_event(event, hands.now, hands.net),
             Some(_) => self.clients.on_event(event, hands),
             None => {}
@@ -265,7 +265,7 @@
             let (facts, rules) = (self.files.facts(&file), self.files.rules(&file));
             self.membership.set_operator_nodes(facts, rules, hands.now);
         }
-        self.membership.tick(hands, |c| self.nodes.place(c));
+        self.membership.tick(hands, |c| self.nodes.update_node(c));
         self.nodes.tick(hands);
         self.clients.tick(hands);
     }
@@ -278,7 +278,7 @@
         match work {
             EngineAction::Call { replica, parts } => self.nodes.call(replica, parts, hands),
             EngineAction::CancelAttempt { replica, attempt } => {
-                self.nodes.give_up(replica, attempt, hands.now)
+                self.nodes.cancel(replica, attempt, hands.now)
             }
             EngineAction::Respond { query, outcome: answer } => {
                 self.clients.on_query_outcome(query, answer, hands)
@@ -289,10 +289,15 @@
     }
 
     fn next_deadline(&self) -> Option<Nanos> {
-        [self.nodes.due(), self.clients.next_deadline(), self.membership.next_deadline(), self.files.due()]
-            .into_iter()
-            .flatten()
-            .min()
+        [
+            self.nodes.next_deadline(),
+            self.clients.next_deadline(),
+            self.membership.next_deadline(),
+            self.files.due(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     fn set_ready(&mut self, ready: bool) {
@@ -311,7 +316,7 @@
     fn close_idle(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
         self.clients.close_idle(hands);
         if self.clients.is_empty() {
-            self.nodes.farewell(hands.net);
+            self.nodes.close_all(hands.net);
         }
     }
 
@@ -339,9 +344,9 @@
         // What is held stays; only the rest is divided. Callers at the second address may still come.
         let apart = admin::MAX_CONNECTIONS.saturating_sub(net.accepted_in_class(ConnectionClass::Admin));
         let rest = descriptors.saturating_sub(net.descriptors() + apart);
-        let to_nodes = (self.nodes.links() + rest / 2).min(self.most_to_nodes);
-        let clients = net.accepted() + rest - (to_nodes - self.nodes.links()).min(rest);
-        self.nodes.keep_to(to_nodes.max(1));
+        let to_nodes = (self.nodes.connection_count() + rest / 2).min(self.most_to_nodes);
+        let clients = net.accepted() + rest - (to_nodes - self.nodes.connection_count()).min(rest);
+        self.nodes.set_connection_limit(to_nodes.max(1));
         self.clients.set_connection_limit(clients);
         net.set_accepted_limit(clients);
     }
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -1,4 +1,4 @@
-//! One connection to an index node as a conversation: what is written, and what the answers mean.
+//! The protocol on one connection to an index node: which requests are sent, and how responses are read.
 
 use super::apdu::*;
 use super::ber;
@@ -14,102 +14,103 @@
 use crate::net::Pool;
 use std::rc::Rc;
 
-/// Longest target of a GET; a longer search goes as a form.
-const LONGEST_TARGET: usize = 1500;
-/// What the broker takes in one APDU.
+/// Longest query string of a GET request; a longer one is sent as a form with POST.
+const MAX_QUERY_STRING_BYTES: usize = 1500;
+/// Largest APDU that the broker accepts, bytes.
 const MESSAGE_SIZE: i64 = 60 * 1024;
 
-/// A part at a node: a search in one database, and the run of records that is wanted.
+/// A part to be run at a node: a search in one database, and the range of records to return.
 #[derive(Clone, Debug)]
 pub struct Task {
     /// The search.
     pub search: Rc<Search>,
     /// The database.
     pub database: String,
-    /// The first record.
+    /// Position of the first record, from 1.
     pub start: u64,
-    /// How many.
+    /// Number of records.
     pub count: u64,
-    /// Most records to ask for at once.
+    /// Most records to request at once.
     pub page: u64,
     total: Option<u64>,
     items: Vec<Item>,
 }
 
 impl Task {
-    /// A task of which nothing is done.
+    /// A task that has not been started.
     pub fn new(search: Rc<Search>, database: String, start: u64, count: u64, page: u64) -> Task {
         Task { search, database, start, count, page, total: None, items: Vec::new() }
     }
 
-    fn next(&self) -> u64 {
+    fn next_position(&self) -> u64 {
         self.start + self.items.len() as u64
     }
 
-    /// Records that are still to be asked for now.
-    fn wanted(&self) -> u64 {
-        let open = self.count - self.items.len() as u64;
-        let there = self.total.map_or(open, |t| (t + 1).saturating_sub(self.next()));
-        open.min(there).min(self.page)
+    /// Number of records to request next: those still missing, at most a page and none beyond the last hit.
+    fn next_count(&self) -> u64 {
+        let missing = self.count - self.items.len() as u64;
+        let available = self.total.map_or(missing, |t| (t + 1).saturating_sub(self.next_position()));
+        missing.min(available).min(self.page)
     }
 
-    fn take(&mut self, mut items: Vec<Item>) {
+    fn add_items(&mut self, mut items: Vec<Item>) {
         items.truncate((self.count as usize).saturating_sub(self.items.len()));
         self.items.append(&mut items);
     }
 
-    fn found(&mut self) -> Step {
+    fn finish(&mut self) -> Step {
         let items = std::mem::take(&mut self.items);
         Step::Done(Ok(Ok(Found { total: self.total.unwrap_or(0), items })))
     }
 }
 
-/// What an answer leads to.
+/// What to do after data was received.
 #[derive(Debug)]
 pub enum Step {
-    /// More must come.
+    /// Wait for more data.
     Wait,
     /// The node is ready for a task.
     Ready,
-    /// This is to be sent.
+    /// Send this message.
     Send(Vec<u8>),
-    /// The task is over: its value, or how the attempt ended.
+    /// End the task with its value, or with the outcome of the failed attempt.
     Done(Result<PartValue, Outcome>),
 }
 
-/// Why a conversation can't go on.
+/// Why a session can't go on: the connection must be closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken(pub String);
+pub struct SessionError(pub String);
 
+/// The protocol of a node, with the state of the session.
 #[derive(Debug)]
-enum Speech {
+enum ProtocolState {
     Sru { reader: Reader, host: String },
-    Z3950 { greeted: bool },
+    Z3950 { initialized: bool },
 }
 
-/// One conversation.
+/// The state of one session with a node.
 #[derive(Debug)]
-pub struct Talk {
-    speech: Speech,
+pub struct NodeSession {
+    protocol_state: ProtocolState,
     task: Option<Task>,
-    over: bool,
+    closing: bool,
 }
 
-impl Talk {
-    /// A conversation with a node at `host`.
-    pub fn new(protocol: Protocol, host: String) -> Talk {
-        let speech = match protocol {
-            Protocol::Sru => Speech::Sru { reader: Reader::new(Side::Responses), host },
-            Protocol::Z3950 => Speech::Z3950 { greeted: false },
+impl NodeSession {
+    /// A session with a node at `host`.
+    pub fn new(protocol: Protocol, host: String) -> NodeSession {
+        let protocol_state = match protocol {
+            Protocol::Sru => ProtocolState::Sru { reader: Reader::new(Side::Responses), host },
+            Protocol::Z3950 => ProtocolState::Z3950 { initialized: false },
         };
-        Talk { speech, task: None, over: false }
+        NodeSession { protocol_state, task: None, closing: false }
     }
 
-    /// What is to be sent at the start. Without it the node is ready at once.
-    pub fn greeting(&self) -> Option<Vec<u8>> {
-        match self.speech {
-            Speech::Sru { .. } => None,
-            Speech::Z3950 { .. } => Some(
+    /// The message to send on a new connection. If there is none, the node is ready at once.
+    pub fn opening_message(&self) -> Option<Vec<u8>> {
+        match self.protocol_state {
+            ProtocolState::Sru { .. } => None,
+            ProtocolState::Z3950 { .. } => Some(
                 Apdu::InitRequest(InitRequest {
                     reference: None,
                     versions: VERSIONS.into(),
@@ -122,18 +123,18 @@
         }
     }
 
-    /// What is to be sent before a connection is closed.
-    pub fn farewell(&self) -> Option<Vec<u8>> {
+    /// The message to send before the connection is closed, if the protocol has one.
+    pub fn closing_message(&self) -> Option<Vec<u8>> {
         let words = "idle".into();
         let close = Apdu::Close { reference: None, reason: CloseReason::Finished as i64, words };
-        matches!(self.speech, Speech::Z3950 { greeted: true }).then(|| close.encode())
+        matches!(self.protocol_state, ProtocolState::Z3950 { initialized: true }).then(|| close.encode())
     }
 
-    /// Begins a task: what is to be sent, or why this search can't be put to such a node.
-    pub fn begin(&mut self, task: Task) -> Result<Vec<u8>, Diagnostic> {
-        let message = match &self.speech {
-            Speech::Sru { host, .. } => ask_sru(&task, host)?,
-            Speech::Z3950 { .. } => Apdu::SearchRequest(SearchRequest {
+    /// Starts a task. Returns the request to send, or why the protocol can't express this search.
+    pub fn start(&mut self, task: Task) -> Result<Vec<u8>, Diagnostic> {
+        let message = match &self.protocol_state {
+            ProtocolState::Sru { host, .. } => sru_request(&task, host)?,
+            ProtocolState::Z3950 { .. } => Apdu::SearchRequest(SearchRequest {
                 reference: None,
                 small_upper: 0,
                 large_lower: 1,
@@ -151,44 +152,45 @@
         Ok(message)
     }
 
-    /// The node ends the connection after the answer that was just read.
-    pub fn is_over(&self) -> bool {
-        self.over
+    /// Whether the node closes the connection after the response that was just read.
+    pub fn is_closing(&self) -> bool {
+        self.closing
     }
 
-    /// The connection has ended. Where that makes an answer whole, this is what it leads to.
-    pub fn end(&mut self) -> Option<Step> {
-        let (Speech::Sru { reader, host }, Some(task)) = (&mut self.speech, &mut self.task) else {
+    /// Handles the end of the connection. Returns a step if that end completes a response.
+    pub fn connection_closed(&mut self) -> Option<Step> {
+        let (ProtocolState::Sru { reader, host }, Some(task)) = (&mut self.protocol_state, &mut self.task)
+        else {
             return None;
         };
-        self.over = true;
-        let step = if reader.end() { sru_answer(reader, task, host).ok() } else { None };
+        self.closing = true;
+        let step = if reader.end() { handle_sru_response(reader, task, host).ok() } else { None };
         step.filter(|s| matches!(s, Step::Done(_)))
     }
 
-    /// Takes in what came: how much of it was used, and what it leads to.
-    pub fn take(&mut self, data: &[u8], pool: &Pool) -> Result<(usize, Step), Broken> {
-        let Talk { speech, task, over } = self;
-        let (used, step) = match speech {
-            Speech::Sru { reader, host } => {
-                let used = reader.advance(data, pool).map_err(|e| Broken(e.to_string()))?;
+    /// Handles received data. Returns how many bytes were consumed, and what to do next.
+    pub fn receive(&mut self, data: &[u8], pool: &Pool) -> Result<(usize, Step), SessionError> {
+        let NodeSession { protocol_state, task, closing } = self;
+        let (used, step) = match protocol_state {
+            ProtocolState::Sru { reader, host } => {
+                let used = reader.advance(data, pool).map_err(|e| SessionError(e.to_string()))?;
                 if !reader.is_done() {
                     return Ok((used, Step::Wait));
                 }
-                let task = task.as_mut().ok_or(Broken("an answer that nobody asked for".into()))?;
-                let step = sru_answer(reader, task, host)?;
-                *over = reader.head().is_some_and(|h| !h.keep_alive);
+                let task = task.as_mut().ok_or(SessionError("unsolicited response".into()))?;
+                let step = handle_sru_response(reader, task, host)?;
+                *closing = reader.head().is_some_and(|h| !h.keep_alive);
                 reader.reset();
-                if *over && matches!(step, Step::Send(_)) {
-                    return Err(Broken("the node closes between two pages".into()));
+                if *closing && matches!(step, Step::Send(_)) {
+                    return Err(SessionError("the node closed the connection between two pages".into()));
                 }
                 (used, step)
             }
-            Speech::Z3950 { greeted } => {
-                let broken = |e: ber::BerError| Broken(e.to_string());
-                let Some(size) = ber::size(data).map_err(broken)? else { return Ok((0, Step::Wait)) };
-                let apdu = Apdu::decode(&data[..size]).map_err(broken)?;
-                (size, z3950_answer(apdu, greeted, task)?)
+            ProtocolState::Z3950 { initialized } => {
+                let session_error = |e: ber::BerError| SessionError(e.to_string());
+                let Some(size) = ber::size(data).map_err(session_error)? else { return Ok((0, Step::Wait)) };
+                let apdu = Apdu::decode(&data[..size]).map_err(session_error)?;
+                (size, handle_apdu(apdu, initialized, task)?)
             }
         };
         if matches!(step, Step::Done(_)) {
@@ -198,16 +200,16 @@
     }
 }
 
-fn ask_sru(task: &Task, host: &str) -> Result<Vec<u8>, Diagnostic> {
+fn sru_request(task: &Task, host: &str) -> Result<Vec<u8>, Diagnostic> {
     let fields = format!(
         "version=1.1&operation=searchRetrieve&query={}&startRecord={}&maximumRecords={}\
          &recordPacking=xml&recordSchema=marcxml",
         sru::percent_encode(&cql::write(&task.search)?),
-        task.next(),
-        task.wanted()
+        task.next_position(),
+        task.next_count()
     );
     let database = sru::percent_encode(&task.database);
-    Ok(if fields.len() <= LONGEST_TARGET {
+    Ok(if fields.len() <= MAX_QUERY_STRING_BYTES {
         format!("GET /{database}?{fields} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes()
     } else {
         format!(
@@ -219,18 +221,18 @@
     })
 }
 
-/// What a diagnostic for a whole search means for the attempt.
-fn refused(d: Diagnostic) -> Step {
+/// How a diagnostic for a whole search ends the attempt.
+fn diagnostic_step(d: Diagnostic) -> Step {
     Step::Done(match d.trouble {
         Trouble::TemporarilyUnavailable => Err(Outcome::Rejected),
-        // Half of a partition is not that partition's answer; another replica may have all of it.
+        // A partial result is no answer for the partition; another replica may have all of it.
         Trouble::PartialResult => Err(Outcome::Error),
         _ if d.is_of_server() => Err(Outcome::Error),
         _ => Ok(Err(d)),
     })
 }
 
-fn sru_answer(reader: &Reader, task: &mut Task, host: &str) -> Result<Step, Broken> {
+fn handle_sru_response(reader: &Reader, task: &mut Task, host: &str) -> Result<Step, SessionError> {
     match reader.head().map_or(0, |h| h.status) {
         200 => {}
         429 | 503 => return Ok(Step::Done(Err(Outcome::Rejected))),
@@ -242,31 +244,31 @@
     let response = match sru::read_response(reader.body()) {
         Ok(response) => response,
         Err(why) => {
-            tracing::warn!("node {host} answered with {why}");
+            tracing::warn!("node {host} sent an invalid response: {why}");
             return Ok(Step::Done(Err(Outcome::Error)));
         }
     };
     match response.diagnostics.into_iter().next() {
         Some(d) if d.trouble == Trouble::FirstPositionOutOfRange => {}
-        Some(d) => return Ok(refused(d)),
+        Some(d) => return Ok(diagnostic_step(d)),
         None => {}
     }
     let before = task.items.len();
     task.total = Some(response.total);
-    task.take(response.items);
-    // A node may give fewer records than it was asked for, but not none.
-    if task.wanted() == 0 || task.items.len() == before {
-        return Ok(task.found());
+    task.add_items(response.items);
+    // A node may return fewer records than requested, but a response without any is the last.
+    if task.next_count() == 0 || task.items.len() == before {
+        return Ok(task.finish());
     }
-    ask_sru(task, host).map(Step::Send).map_err(|d| Broken(d.to_string()))
+    sru_request(task, host).map(Step::Send).map_err(|d| SessionError(d.to_string()))
 }
 
-fn present(task: &Task) -> Step {
+fn present_request(task: &Task) -> Step {
     let request = PresentRequest {
         reference: None,
         result_set: "default".into(),
-        start: task.next() as i64,
-        number: task.wanted() as i64,
+        start: task.next_position() as i64,
+        number: task.next_count() as i64,
         element_set: Some("F".into()),
         syntax: Some(USMARC.into()),
         complex: false,
@@ -274,57 +276,58 @@
     Step::Send(Apdu::PresentRequest(request).encode())
 }
 
-fn z3950_answer(apdu: Apdu, greeted: &mut bool, task: &mut Option<Task>) -> Result<Step, Broken> {
-    let unasked = || Broken("an answer that nobody asked for".into());
+fn handle_apdu(apdu: Apdu, initialized: &mut bool, task: &mut Option<Task>) -> Result<Step, SessionError> {
+    let unsolicited = || SessionError("unsolicited response".into());
     match apdu {
-        Apdu::InitResponse(r) if !*greeted => {
+        Apdu::InitResponse(r) if !*initialized => {
             if !r.accepted {
-                return Err(Broken("the node refused the session".into()));
+                return Err(SessionError("the node refused the session".into()));
             }
-            *greeted = true;
+            *initialized = true;
             Ok(Step::Ready)
         }
         Apdu::SearchResponse(r) => {
-            let task = task.as_mut().ok_or_else(unasked)?;
+            let task = task.as_mut().ok_or_else(unsolicited)?;
             if let Records::Diagnostic(d) = r.records {
-                return Ok(refused(d));
+                return Ok(diagnostic_step(d));
             }
             if !r.success {
                 return Ok(Step::Done(Err(Outcome::Error)));
             }
-            task.total = Some(u64::try_from(r.count).map_err(|_| Broken("a count below 0".into()))?);
-            Ok(if task.wanted() == 0 { task.found() } else { present(task) })
+            task.total =
+                Some(u64::try_from(r.count).map_err(|_| SessionError("negative result count".into()))?);
+            Ok(if task.next_count() == 0 { task.finish() } else { present_request(task) })
         }
         Apdu::PresentResponse(r) => {
-            let task = task.as_mut().ok_or_else(unasked)?;
+            let task = task.as_mut().ok_or_else(unsolicited)?;
             let records = match r.records {
                 Records::Some(records) => records,
                 Records::Diagnostic(d) if d.trouble == Trouble::FirstPositionOutOfRange => vec![],
-                Records::Diagnostic(d) => return Ok(refused(d)),
+                Records::Diagnostic(d) => return Ok(diagnostic_step(d)),
                 Records::None => vec![],
             };
             let none = records.is_empty();
-            task.take(records.into_iter().map(item).collect());
-            Ok(if none || task.wanted() == 0 { task.found() } else { present(task) })
+            task.add_items(records.into_iter().map(to_item).collect());
+            Ok(if none || task.next_count() == 0 { task.finish() } else { present_request(task) })
         }
         Apdu::Close { reason, words, .. } => {
-            Err(Broken(format!("closed by the node, reason {reason} {words:?}")))
+            Err(SessionError(format!("closed by the node, reason {reason} {words:?}")))
         }
-        _ => Err(unasked()),
+        _ => Err(unsolicited()),
     }
 }
 
-fn item(r: Retrieved) -> Item {
-    let why = |e: String| Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, e));
+fn to_item(r: Retrieved) -> Item {
+    let unavailable = |e: String| Item::Diagnostic(Diagnostic::new(Trouble::RecordUnavailable, e));
     match r {
         Retrieved::Diagnostic(d) => Item::Diagnostic(d),
         Retrieved::Record { syntax, bytes } if syntax == USMARC => {
-            Record::from_iso2709(&bytes).map_or_else(|e| why(e.to_string()), Item::Record)
+            Record::from_iso2709(&bytes).map_or_else(|e| unavailable(e.to_string()), Item::Record)
         }
         Retrieved::Record { syntax, bytes } if syntax == XML => {
             let record = Record::from_marcxml(&String::from_utf8_lossy(&bytes));
-            record.map_or_else(|e| why(e.to_string()), Item::Record)
+            record.map_or_else(|e| unavailable(e.to_string()), Item::Record)
         }
-        Retrieved::Record { syntax, .. } => why(format!("record syntax {syntax}")),
+        Retrieved::Record { syntax, .. } => unavailable(format!("record syntax {syntax}")),
     }
 }
--- a/src/frontends/catalogue/upstream.rs
+++ b/src/frontends/catalogue/upstream.rs
@@ -1,7 +1,7 @@
-//! The server side: index nodes that speak SRU or Z39.50, a few connections to each, one search at a time
-//! on a connection.
+//! Upstream connections to index nodes that speak SRU or Z39.50: a few to each node, with one search at a
+//! time on each connection.
 
-use super::node_session::{Step, Talk, Task};
+use super::node_session::{NodeSession, Step, Task};
 use super::plan::{PartValue, Sought};
 use crate::api::{Nanos, Outcome, ReplicaId};
 use crate::config::{Limits, Protocol};
@@ -12,384 +12,421 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How long the answer to a given-up search is awaited before its connection is closed.
-const ABANDONED: Nanos = 2_000_000_000;
+/// Time within which a cancelled search must be answered before its connection is closed, ns.
+const ABANDONED_RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
 
-type Catalogue<'a> = FrontendContext<'a, Sought, PartValue>;
+type CatalogueContext<'a> = FrontendContext<'a, Sought, PartValue>;
 
-/// A part that waits for a free connection.
-struct Waiting {
+/// A part that is queued until a connection is free.
+struct QueuedPart {
     attempt: AttemptId,
     task: Task,
 }
 
-/// A part that was sent.
-struct Riding {
-    /// Nothing once it is given up.
+/// A part whose request is in flight.
+struct SentPart {
+    /// None once the attempt is cancelled.
     attempt: Option<AttemptId>,
-    /// Bytes written on the connection once its request's last byte is.
-    end: u64,
-    /// Its request is known to be written whole.
+    /// Position of the end of its request among all bytes written on the connection.
+    request_end: u64,
+    /// Whether the request is known to be written whole.
     written: bool,
-    given_up: Nanos,
+    cancelled_at: Nanos,
 }
 
-struct Link {
+struct NodeConnection {
     replica: ReplicaId,
-    talk: Talk,
-    riding: Option<Riding>,
-    /// Until when it must be ready; none once it is.
+    session: NodeSession,
+    in_flight: Option<SentPart>,
+    /// When it must be ready at the latest; none once it is ready.
     ready_by: Option<Nanos>,
-    used: Nanos,
+    last_used: Nanos,
 }
 
-struct Place {
+struct Node {
     id: String,
     addr: SocketAddr,
     protocol: Protocol,
-    waiting: VecDeque<Waiting>,
+    queue: VecDeque<QueuedPart>,
 }
 
 /// All index nodes and the connections to them.
 pub struct Nodes {
     owner: u8,
-    places: BTreeMap<ReplicaId, Place>,
-    links: BTreeMap<ConnId, Link>,
+    nodes: BTreeMap<ReplicaId, Node>,
+    connections: BTreeMap<ConnId, NodeConnection>,
     by_attempt: HashMap<AttemptId, ConnId>,
     database: String,
     limits: Limits,
-    /// Most connections, all nodes together.
-    most: usize,
-    /// Parts that waited for a node that is gone.
+    /// Most connections to all nodes together.
+    max_connections: usize,
+    /// Queued attempts of removed nodes, which fail at the next tick.
     orphaned: Vec<AttemptId>,
 }
 
 impl Nodes {
-    /// The server side whose connections, `most` at most, carry the mark `owner`.
-    pub fn new(owner: u8, database: &str, limits: Limits, most: usize) -> Nodes {
+    /// No nodes yet. At most `max_connections` connections are opened, all under `owner` at the poll loop.
+    pub fn new(owner: u8, database: &str, limits: Limits, max_connections: usize) -> Nodes {
         Nodes {
             owner,
-            places: BTreeMap::new(),
-            links: BTreeMap::new(),
+            nodes: BTreeMap::new(),
+            connections: BTreeMap::new(),
             by_attempt: HashMap::new(),
             database: database.into(),
             limits,
-            most,
+            max_connections,
             orphaned: Vec::new(),
         }
     }
 
-    /// Connections that are open or coming up.
-    pub fn links(&self) -> usize {
-        self.links.len()
+    /// Connections that are open or being established.
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
-    /// From now on there are at most so many connections.
-    pub fn keep_to(&mut self, most: usize) {
-        self.most = most;
+    /// Limits the number of connections. Open ones are kept.
+    pub fn set_connection_limit(&mut self, max_connections: usize) {
+        self.max_connections = max_connections;
     }
 
-    /// Learns where a node is, or that it is gone. What was sent there may still be answered.
-    pub fn place(&mut self, change: &NodeChange) {
+    /// Adds, updates or removes a node. Requests that were sent to it may still be answered.
+    pub fn update_node(&mut self, change: &NodeChange) {
         let replica = change.entry.replica;
         match (change.addr, Protocol::named(&change.kind)) {
             (Some(addr), Some(protocol)) => {
                 let id = change.id.clone();
-                let waiting = self.places.remove(&replica).map(|p| p.waiting).unwrap_or_default();
-                self.places.insert(replica, Place { id, addr, protocol, waiting });
+                let queue = self.nodes.remove(&replica).map(|n| n.queue).unwrap_or_default();
+                self.nodes.insert(replica, Node { id, addr, protocol, queue });
             }
             _ => {
-                if let Some(place) = self.places.remove(&replica) {
-                    self.orphaned.extend(place.waiting.into_iter().map(|w| w.attempt));
+                if let Some(node) = self.nodes.remove(&replica) {
+                    self.orphaned.extend(node.queue.into_iter().map(|q| q.attempt));
                 }
             }
         }
     }
 
     /// Sends the parts of one call.
-    pub fn call(&mut self, replica: ReplicaId, parts: Vec<AttemptRequest<Sought>>, hands: &mut Catalogue) {
+    pub fn call(
+        &mut self,
+        replica: ReplicaId,
+        parts: Vec<AttemptRequest<Sought>>,
+        context: &mut CatalogueContext,
+    ) {
         for p in parts {
             let Some(run) = p.payload.runs.iter().find(|r| r.partition == p.shard) else { continue };
             let database = self.database.replace("{partition}", &p.shard.to_string());
             let task = Task::new(p.payload.search.clone(), database, run.start, run.count, self.limits.page);
-            match self.places.get_mut(&replica) {
-                Some(place) => place.waiting.push_back(Waiting { attempt: p.attempt, task }),
+            match self.nodes.get_mut(&replica) {
+                Some(node) => node.queue.push_back(QueuedPart { attempt: p.attempt, task }),
                 None => self.orphaned.push(p.attempt),
             }
         }
-        self.feed(replica, hands);
+        self.send_queued(replica, context);
     }
 
-    /// Hands waiting parts to free connections, and dials where there are too few.
-    fn feed(&mut self, replica: ReplicaId, hands: &mut Catalogue) {
+    /// Sends queued parts on free connections, and dials further ones where there are too few.
+    fn send_queued(&mut self, replica: ReplicaId, context: &mut CatalogueContext) {
         loop {
-            let Some(place) = self.places.get_mut(&replica) else { return };
-            if place.waiting.is_empty() {
+            let Some(node) = self.nodes.get_mut(&replica) else { return };
+            if node.queue.is_empty() {
                 return;
             }
-            let ours = || self.links.iter().filter(|(_, l)| l.replica == replica);
-            let free = ours().find(|(_, l)| l.ready_by.is_none() && l.riding.is_none()).map(|(c, _)| *c);
-            let (all, coming) = (ours().count(), ours().filter(|(_, l)| l.ready_by.is_some()).count());
+            let to_node = || self.connections.iter().filter(|(_, c)| c.replica == replica);
+            let free =
+                to_node().find(|(_, c)| c.ready_by.is_none() && c.in_flight.is_none()).map(|(c, _)| *c);
+            let (total, dialing) =
+                (to_node().count(), to_node().filter(|(_, c)| c.ready_by.is_some()).count());
             let Some(conn) = free else {
-                if coming >= place.waiting.len() || all >= self.limits.connections_per_node {
+                if dialing >= node.queue.len() || total >= self.limits.connections_per_node {
                     return;
                 }
-                if !self.dial(replica, hands) {
-                    return self.fail_waiting(replica, Outcome::ConnectFailed, hands);
+                if !self.dial(replica, context) {
+                    return self.fail_queued(replica, Outcome::ConnectFailed, context);
                 }
                 continue;
             };
-            let (Some(next), Some(link)) = (place.waiting.pop_front(), self.links.get_mut(&conn)) else {
+            let (Some(next), Some(connection)) = (node.queue.pop_front(), self.connections.get_mut(&conn))
+            else {
                 return;
             };
             let attempt = next.attempt;
-            match link.talk.begin(next.task) {
+            match connection.session.start(next.task) {
                 // No node that speaks this protocol can answer the search.
-                Err(d) => hands.engine.attempt_ended(hands.now, attempt, done(Ok(Err(d)))),
+                Err(d) => context.engine.attempt_ended(context.now, attempt, attempt_outcome(Ok(Err(d)))),
                 Ok(message) => {
-                    link.used = hands.now;
-                    if hands.net.send(conn, &message).is_err() {
-                        hands.engine.attempt_ended(hands.now, attempt, done(Err(Outcome::ConnectFailed)));
-                        self.close(conn, hands);
+                    connection.last_used = context.now;
+                    if context.net.send(conn, &message).is_err() {
+                        context.engine.attempt_ended(
+                            context.now,
+                            attempt,
+                            attempt_outcome(Err(Outcome::ConnectFailed)),
+                        );
+                        self.close(conn, context);
                         continue;
                     }
-                    let end = hands.net.queued(conn);
-                    link.riding = Some(Riding { attempt: Some(attempt), end, written: false, given_up: 0 });
+                    let request_end = context.net.queued(conn);
+                    connection.in_flight = Some(SentPart {
+                        attempt: Some(attempt),
+                        request_end,
+                        written: false,
+                        cancelled_at: 0,
+                    });
                     self.by_attempt.insert(attempt, conn);
-                    let flushed = hands.net.flushed(conn);
-                    self.written(conn, flushed, hands);
+                    let flushed = context.net.flushed(conn);
+                    self.on_written(conn, flushed, context);
                 }
             }
         }
     }
 
-    /// So many bytes are written: an attempt whose request is whole among them is told once.
-    fn written(&mut self, conn: ConnId, flushed: u64, hands: &mut Catalogue) {
-        let riding = self.links.get_mut(&conn).and_then(|l| l.riding.as_mut());
-        if let Some(riding) = riding.filter(|r| flushed >= r.end && !r.written) {
-            riding.written = true;
-            hands.engine.attempts_written(1);
+    /// Reports an attempt to the engine, once, when the first `flushed` bytes include its whole request.
+    fn on_written(&mut self, conn: ConnId, flushed: u64, context: &mut CatalogueContext) {
+        let in_flight = self.connections.get_mut(&conn).and_then(|c| c.in_flight.as_mut());
+        if let Some(in_flight) = in_flight.filter(|r| flushed >= r.request_end && !r.written) {
+            in_flight.written = true;
+            context.engine.attempts_written(1);
         }
     }
 
-    fn dial(&mut self, replica: ReplicaId, hands: &mut Catalogue) -> bool {
-        // Guards the limit on descriptors: another node's idle connection makes room, else there is none.
-        if self.links.len() >= self.most && !self.close_idlest(hands) {
-            tracing::warn!("no connection to a node: {} are open", self.links.len());
+    fn dial(&mut self, replica: ReplicaId, context: &mut CatalogueContext) -> bool {
+        // Keeps to the limit on descriptors: an idle connection to another node is closed first, and without
+        // one no connection is opened.
+        if self.connections.len() >= self.max_connections && !self.close_longest_idle(context) {
+            tracing::warn!(
+                "no connection to a node: the limit is reached, {} are open",
+                self.connections.len()
+            );
             return false;
         }
-        let Some(place) = self.places.get(&replica) else { return false };
-        match hands.net.dial(place.addr, self.owner) {
+        let Some(node) = self.nodes.get(&replica) else { return false };
+        match context.net.dial(node.addr, self.owner) {
             Ok(conn) => {
-                let talk = Talk::new(place.protocol, place.addr.to_string());
-                let ready_by = Some(hands.now + self.limits.dial_timeout_ms * 1_000_000);
-                self.links.insert(conn, Link { replica, talk, riding: None, ready_by, used: hands.now });
+                let session = NodeSession::new(node.protocol, node.addr.to_string());
+                let ready_by = Some(context.now + self.limits.dial_timeout_ms * 1_000_000);
+                self.connections.insert(
+                    conn,
+                    NodeConnection { replica, session, in_flight: None, ready_by, last_used: context.now },
+                );
                 true
             }
             Err(e) => {
-                tracing::warn!("node {} can't be dialled: {e}", place.id);
+                tracing::warn!("node {} can't be dialled: {e}", node.id);
                 false
             }
         }
     }
 
-    fn close_idlest(&mut self, hands: &mut Catalogue) -> bool {
-        let idle = self.links.iter().filter(|(_, l)| l.ready_by.is_none() && l.riding.is_none());
-        let Some(conn) = idle.min_by_key(|(_, l)| l.used).map(|(c, _)| *c) else { return false };
-        self.say_goodbye(conn, hands);
+    fn close_longest_idle(&mut self, context: &mut CatalogueContext) -> bool {
+        let idle = self.connections.iter().filter(|(_, c)| c.ready_by.is_none() && c.in_flight.is_none());
+        let Some(conn) = idle.min_by_key(|(_, c)| c.last_used).map(|(c, _)| *c) else { return false };
+        self.close_gracefully(conn, context);
         true
     }
 
-    /// Ends a connection on which nothing is out.
-    fn say_goodbye(&mut self, conn: ConnId, hands: &mut Catalogue) {
-        let link = self.links.get(&conn);
-        if let Some(message) = link.filter(|l| l.riding.is_none()).and_then(|l| l.talk.farewell()) {
-            let _ = hands.net.send(conn, &message);
+    /// Closes a connection, with the protocol's closing message unless a request is in flight.
+    fn close_gracefully(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        let connection = self.connections.get(&conn);
+        if let Some(message) =
+            connection.filter(|c| c.in_flight.is_none()).and_then(|c| c.session.closing_message())
+        {
+            let _ = context.net.send(conn, &message);
         }
-        self.close(conn, hands);
+        self.close(conn, context);
     }
 
-    fn fail_waiting(&mut self, replica: ReplicaId, outcome: Outcome, hands: &mut Catalogue) {
-        let Some(place) = self.places.get_mut(&replica) else { return };
-        for w in place.waiting.drain(..) {
-            hands.engine.attempt_ended(hands.now, w.attempt, done(Err(outcome)));
+    fn fail_queued(&mut self, replica: ReplicaId, outcome: Outcome, context: &mut CatalogueContext) {
+        let Some(node) = self.nodes.get_mut(&replica) else { return };
+        for q in node.queue.drain(..) {
+            context.engine.attempt_ended(context.now, q.attempt, attempt_outcome(Err(outcome)));
         }
     }
 
-    /// Nobody waits for a part any more. Neither protocol can say so; its answer will be dropped.
-    pub fn give_up(&mut self, replica: ReplicaId, attempt: AttemptId, now: Nanos) {
-        if let Some(place) = self.places.get_mut(&replica) {
-            place.waiting.retain(|w| w.attempt != attempt);
+    /// Cancels an attempt. Neither protocol can cancel a request that was sent: its response is discarded.
+    pub fn cancel(&mut self, replica: ReplicaId, attempt: AttemptId, now: Nanos) {
+        if let Some(node) = self.nodes.get_mut(&replica) {
+            node.queue.retain(|q| q.attempt != attempt);
         }
         let conn = self.by_attempt.remove(&attempt);
-        if let Some(r) = conn.and_then(|c| self.links.get_mut(&c)).and_then(|l| l.riding.as_mut()) {
-            (r.attempt, r.given_up) = (None, now);
+        if let Some(r) = conn.and_then(|c| self.connections.get_mut(&c)).and_then(|c| c.in_flight.as_mut()) {
+            (r.attempt, r.cancelled_at) = (None, now);
         }
     }
 
-    /// Takes in what happened on one of its connections.
-    pub fn event(&mut self, event: NetEvent, hands: &mut Catalogue) {
+    /// Handles an event of a connection to a node.
+    pub fn on_event(&mut self, event: NetEvent, context: &mut CatalogueContext) {
         match event {
             NetEvent::Connected { conn, .. } => {
-                let Some(link) = self.links.get_mut(&conn) else { return };
-                match link.talk.greeting() {
-                    Some(greeting) if hands.net.send(conn, &greeting).is_err() => self.close(conn, hands),
+                let Some(connection) = self.connections.get_mut(&conn) else { return };
+                match connection.session.opening_message() {
+                    Some(opening_message) if context.net.send(conn, &opening_message).is_err() => {
+                        self.close(conn, context)
+                    }
                     Some(_) => {}
-                    None => self.ready(conn, hands),
+                    None => self.on_ready(conn, context),
                 }
             }
-            NetEvent::Readable { conn, .. } => self.read(conn, hands),
-            NetEvent::Broken { conn, flushed, .. } => self.broken(conn, flushed, hands),
+            NetEvent::Readable { conn, .. } => self.read(conn, context),
+            NetEvent::Broken { conn, flushed, .. } => self.on_broken(conn, flushed, context),
             NetEvent::Flushed { conn, .. } => {
-                let flushed = hands.net.flushed(conn);
-                self.written(conn, flushed, hands);
+                let flushed = context.net.flushed(conn);
+                self.on_written(conn, flushed, context);
             }
             NetEvent::Accepted { .. } | NetEvent::Datagrams { .. } | NetEvent::Signal(_) => {}
         }
     }
 
-    fn ready(&mut self, conn: ConnId, hands: &mut Catalogue) {
-        if let Some(link) = self.links.get_mut(&conn) {
-            link.ready_by = None;
-            let replica = link.replica;
-            self.feed(replica, hands);
+    fn on_ready(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.ready_by = None;
+            let replica = connection.replica;
+            self.send_queued(replica, context);
         }
     }
 
-    fn read(&mut self, conn: ConnId, hands: &mut Catalogue) {
-        while self.links.contains_key(&conn) {
-            match hands.net.fill(conn) {
-                ReadOutcome::Read(_) => self.work(conn, hands),
+    fn read(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        while self.connections.contains_key(&conn) {
+            match context.net.fill(conn) {
+                ReadOutcome::Read(_) => self.process_input(conn, context),
                 ReadOutcome::WouldBlock | ReadOutcome::NoBuffer => return,
                 ReadOutcome::BufferFull => {
-                    return self.drop_link(conn, "an answer larger than a buffer", hands);
+                    return self.close_on_error(conn, "response exceeds the buffer size", context);
                 }
                 ReadOutcome::Closed => {
-                    let step = self.links.get_mut(&conn).and_then(|l| l.talk.end());
+                    let step = self.connections.get_mut(&conn).and_then(|c| c.session.connection_closed());
                     if let Some(Step::Done(value)) = step {
-                        self.done(conn, value, hands);
+                        self.on_part_done(conn, value, context);
                     }
-                    return self.close(conn, hands);
+                    return self.close(conn, context);
                 }
             }
         }
     }
 
-    fn work(&mut self, conn: ConnId, hands: &mut Catalogue) {
+    fn process_input(&mut self, conn: ConnId, context: &mut CatalogueContext) {
         loop {
-            let Some(link) = self.links.get_mut(&conn) else { return };
-            let pool = hands.net.pool().clone();
-            let (used, step) = match link.talk.take(hands.net.data(conn), &pool) {
+            let Some(connection) = self.connections.get_mut(&conn) else { return };
+            let pool = context.net.pool().clone();
+            let (used, step) = match connection.session.receive(context.net.data(conn), &pool) {
                 Ok(taken) => taken,
-                Err(why) => return self.drop_link(conn, &why.0, hands),
+                Err(why) => return self.close_on_error(conn, &why.0, context),
             };
-            hands.net.consume(conn, used);
+            context.net.consume(conn, used);
             match step {
                 Step::Wait => return,
-                Step::Ready => self.ready(conn, hands),
+                Step::Ready => self.on_ready(conn, context),
                 Step::Send(message) => {
-                    // What nobody waits for is not read on.
-                    let given_up = link.riding.as_ref().is_none_or(|r| r.attempt.is_none());
-                    if given_up || hands.net.send(conn, &message).is_err() {
-                        return self.close(conn, hands);
+                    // Further pages of a cancelled search are not requested.
+                    let cancelled = connection.in_flight.as_ref().is_none_or(|r| r.attempt.is_none());
+                    if cancelled || context.net.send(conn, &message).is_err() {
+                        return self.close(conn, context);
                     }
                 }
                 Step::Done(value) => {
-                    self.done(conn, value, hands);
-                    if self.links.get(&conn).is_some_and(|l| l.talk.is_over()) {
-                        return self.close(conn, hands);
+                    self.on_part_done(conn, value, context);
+                    if self.connections.get(&conn).is_some_and(|c| c.session.is_closing()) {
+                        return self.close(conn, context);
                     }
-                    if let Some(replica) = self.links.get(&conn).map(|l| l.replica) {
-                        self.feed(replica, hands);
+                    if let Some(replica) = self.connections.get(&conn).map(|c| c.replica) {
+                        self.send_queued(replica, context);
                     }
                 }
             }
         }
     }
 
-    fn done(&mut self, conn: ConnId, value: Result<PartValue, Outcome>, hands: &mut Catalogue) {
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        link.used = hands.now;
-        if let Some(attempt) = link.riding.take().and_then(|r| r.attempt) {
+    fn on_part_done(
+        &mut self,
+        conn: ConnId,
+        value: Result<PartValue, Outcome>,
+        context: &mut CatalogueContext,
+    ) {
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        connection.last_used = context.now;
+        if let Some(attempt) = connection.in_flight.take().and_then(|r| r.attempt) {
             self.by_attempt.remove(&attempt);
-            hands.engine.attempt_ended(hands.now, attempt, done(value));
+            context.engine.attempt_ended(context.now, attempt, attempt_outcome(value));
         }
     }
 
-    fn drop_link(&mut self, conn: ConnId, why: &str, hands: &mut Catalogue) {
-        if let Some(place) = self.links.get(&conn).and_then(|l| self.places.get(&l.replica)) {
-            tracing::warn!("connection to node {} closed: {why}", place.id);
+    fn close_on_error(&mut self, conn: ConnId, why: &str, context: &mut CatalogueContext) {
+        if let Some(node) = self.connections.get(&conn).and_then(|c| self.nodes.get(&c.replica)) {
+            tracing::warn!("connection to node {} closed: {why}", node.id);
         }
-        hands.net.close(conn);
-        self.ended(conn, Outcome::InvalidResponse, hands);
+        context.net.close(conn);
+        self.on_closed(conn, Outcome::InvalidResponse, context);
     }
 
-    fn close(&mut self, conn: ConnId, hands: &mut Catalogue) {
-        let flushed = hands.net.flushed(conn);
-        hands.net.close(conn);
-        self.broken(conn, flushed, hands);
+    fn close(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+        let flushed = context.net.flushed(conn);
+        context.net.close(conn);
+        self.on_broken(conn, flushed, context);
     }
 
-    /// A part whose request was not written whole never ran; any other may have. Where no connection came
-    /// up, what waits for one could not connect.
-    fn broken(&mut self, conn: ConnId, flushed: u64, hands: &mut Catalogue) {
-        self.written(conn, flushed, hands);
-        let end = self.links.get(&conn).and_then(|l| l.riding.as_ref()).map_or(0, |r| r.end);
-        let outcome = if flushed >= end { Outcome::ConnectionReset } else { Outcome::ConnectFailed };
-        self.ended(conn, outcome, hands);
+    /// Handles the loss of a connection. A part whose request was not written whole did not run; any other
+    /// may have. If the connection was never established and no other is, queued parts fail as well.
+    fn on_broken(&mut self, conn: ConnId, flushed: u64, context: &mut CatalogueContext) {
+        self.on_written(conn, flushed, context);
+        let request_end =
+            self.connections.get(&conn).and_then(|c| c.in_flight.as_ref()).map_or(0, |r| r.request_end);
+        let outcome = if flushed >= request_end { Outcome::ConnectionReset } else { Outcome::ConnectFailed };
+        self.on_closed(conn, outcome, context);
     }
 
-    fn ended(&mut self, conn: ConnId, outcome: Outcome, hands: &mut Catalogue) {
-        let Some(link) = self.links.remove(&conn) else { return };
-        if let Some(attempt) = link.riding.and_then(|r| r.attempt) {
+    fn on_closed(&mut self, conn: ConnId, outcome: Outcome, context: &mut CatalogueContext) {
+        let Some(connection) = self.connections.remove(&conn) else { return };
+        if let Some(attempt) = connection.in_flight.and_then(|r| r.attempt) {
             self.by_attempt.remove(&attempt);
-            hands.engine.attempt_ended(hands.now, attempt, done(Err(outcome)));
+            context.engine.attempt_ended(context.now, attempt, attempt_outcome(Err(outcome)));
         }
-        // Guards what waits against dials that never come up: while two were under way, each that failed used to
-        // make room for another, for as long as the query lasted.
-        let up = self.links.values().any(|l| l.replica == link.replica && l.ready_by.is_none());
-        if link.ready_by.is_some() && !up {
-            self.fail_waiting(link.replica, Outcome::ConnectFailed, hands);
+        // Ends dials to a node that can't be reached. If the queue were kept while another dial is under way,
+        // each of two dials that fails would be replaced by another, for as long as the query lasts.
+        let up = self.connections.values().any(|c| c.replica == connection.replica && c.ready_by.is_none());
+        if connection.ready_by.is_some() && !up {
+            self.fail_queued(connection.replica, Outcome::ConnectFailed, context);
         } else {
-            self.feed(link.replica, hands);
+            self.send_queued(connection.replica, context);
         }
     }
 
-    /// Ends dials that take too long, answers that nobody waits for, and connections that stand idle.
-    pub fn tick(&mut self, hands: &mut Catalogue) {
-        let now = hands.now;
-        let ended: Vec<ConnId> =
-            self.links.iter().filter(|(_, l)| self.ends(l) <= now).map(|(c, _)| *c).collect();
-        for conn in ended {
-            self.say_goodbye(conn, hands);
+    /// Closes connections that are not established in time, whose cancelled search is not answered in time,
+    /// or that were idle for too long.
+    pub fn tick(&mut self, context: &mut CatalogueContext) {
+        let now = context.now;
+        let expired: Vec<ConnId> =
+            self.connections.iter().filter(|(_, c)| self.expires_at(c) <= now).map(|(c, _)| *c).collect();
+        for conn in expired {
+            self.close_gracefully(conn, context);
         }
         for attempt in std::mem::take(&mut self.orphaned) {
-            hands.engine.attempt_ended(now, attempt, done(Err(Outcome::ConnectFailed)));
+            context.engine.attempt_ended(now, attempt, attempt_outcome(Err(Outcome::ConnectFailed)));
         }
     }
 
-    fn ends(&self, l: &Link) -> Nanos {
-        match (l.ready_by, &l.riding) {
+    fn expires_at(&self, c: &NodeConnection) -> Nanos {
+        match (c.ready_by, &c.in_flight) {
             (Some(t), _) => t,
-            (None, Some(Riding { attempt: None, given_up, .. })) => given_up + ABANDONED,
+            (None, Some(SentPart { attempt: None, cancelled_at, .. })) => {
+                cancelled_at + ABANDONED_RESPONSE_TIMEOUT
+            }
             (None, Some(_)) => Nanos::MAX,
-            // Nothing more goes to a node that is gone.
-            (None, None) if !self.places.contains_key(&l.replica) => 0,
-            (None, None) => l.used + self.limits.node_idle_s * 1_000_000_000,
+            // Nothing more is sent to a removed node.
+            (None, None) if !self.nodes.contains_key(&c.replica) => 0,
+            (None, None) => c.last_used + self.limits.node_idle_s * 1_000_000_000,
         }
     }
 
     /// When `tick` is next worth calling.
-    pub fn due(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         let orphaned = (!self.orphaned.is_empty()).then_some(0);
-        let ends = self.links.values().map(|l| self.ends(l)).min().filter(|t| *t < Nanos::MAX);
+        let ends = self.connections.values().map(|c| self.expires_at(c)).min().filter(|t| *t < Nanos::MAX);
         orphaned.or(ends)
     }
 
-    /// Says goodbye on all connections.
-    pub fn farewell(&mut self, net: &mut PollLoop) {
-        for (conn, link) in std::mem::take(&mut self.links) {
-            if let Some(message) = link.talk.farewell() {
+    /// Closes all connections, with the protocol's closing message.
+    pub fn close_all(&mut self, net: &mut PollLoop) {
+        for (conn, connection) in std::mem::take(&mut self.connections) {
+            if let Some(message) = connection.session.closing_message() {
                 let _ = net.send(conn, &message);
             }
             net.close_after_flush(conn);
@@ -397,7 +434,7 @@
     }
 }
 
-fn done(value: Result<PartValue, Outcome>) -> AttemptOutcome<PartValue> {
+fn attempt_outcome(value: Result<PartValue, Outcome>) -> AttemptOutcome<PartValue> {
     match value {
         Ok(value) => AttemptOutcome { outcome: Outcome::Ok, utilization: None, value: Some(value) },
         Err(outcome) => AttemptOutcome { outcome, utilization: None, value: None },
