--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -1,4 +1,4 @@
-//! The catalogue's front as a whole.
+//! The catalogue frontend: joins clients, nodes and membership, and builds its broker.
 
 use super::downstream::Clients;
 use super::plan::{PartValue, Sought};
@@ -26,92 +26,94 @@
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, TryRecvError, sync_channel};
 
+// Owners of listeners and connections at the poll loop.
 const SRU: u8 = 0;
 const Z3950: u8 = 1;
 const NODES: u8 = 2;
-const ROSTER: u8 = 3;
+const DISCOVERY: u8 = 3;
 
-/// Time in which a connection to discovery must be up.
-const DIAL: Nanos = 2_500_000_000;
-/// Time after the report of a drain in which it has to be kept: an operator's file says nothing of it.
+/// Time in which a connection to discovery must be established, ns.
+const DISCOVERY_DIAL_TIMEOUT: Nanos = 2_500_000_000;
+/// Time after the report of a drain within which sends to the node must cease, ns. The operator's file has no
+/// setting for it.
 const DRAIN_GRACE: Nanos = 2_000_000_000;
 
-/// Time between two looks at a file of nodes that is being read.
-const LOOK: Nanos = 20_000_000;
+/// Time between two checks whether the nodes file has been read, ns.
+const FILE_POLL_INTERVAL: Nanos = 20_000_000;
 
-/// Descriptors kept for what is neither a client nor a node.
-const SPARE: usize = 32;
-/// Memory that buffers may take, bytes.
-const BUFFERS: usize = 48 << 20;
+/// Descriptors reserved for other uses than clients and nodes.
+const SPARE_DESCRIPTORS: usize = 32;
+/// Most memory for buffers.
+const MAX_BUFFER_BYTES: usize = 48 << 20;
 
-/// The catalogue's port: clients and index nodes, each of them speaking SRU or Z39.50.
+/// The catalogue frontend: clients and index nodes, each of which speaks SRU or Z39.50.
 pub struct CatalogueFrontend {
     clients: Clients,
     nodes: Nodes,
     membership: MembershipDriver,
     files: NodeFiles,
-    /// Connections to nodes at most, however much room there is.
-    most_to_nodes: usize,
+    /// Most connections to nodes, even if more descriptors are free.
+    max_node_connections: usize,
 }
 
-/// The nodes that the operator's files name, and the reading of the one that may change.
+/// The nodes of the operator's file and of the nodes file. The latter can be reloaded.
 struct NodeFiles {
-    own: Vec<Node>,
+    configured: Vec<Node>,
     path: Option<PathBuf>,
     cells: u32,
     reading: Option<Receiver<Result<NodesFile, ConfigError>>>,
-    /// When to look whether it was read.
-    look: Nanos,
+    /// When to check whether the file has been read.
+    poll_at: Nanos,
     retry: ReloadRetry,
 }
 
 impl NodeFiles {
-    fn facts(&self, file: &NodesFile) -> Vec<NodeRecord> {
-        self.own.iter().chain(&file.node).map(Node::fact).collect()
+    fn records(&self, file: &NodesFile) -> Vec<NodeRecord> {
+        self.configured.iter().chain(&file.node).map(Node::fact).collect()
     }
 
     fn rules(&self, file: &NodesFile) -> HashMap<String, Rule> {
-        config::rules(self.own.iter().chain(&file.node))
+        config::rules(self.configured.iter().chain(&file.node))
     }
 
-    /// The word to read the file has come.
+    /// Reloads the file on an operator's request.
     fn reload(&mut self, now: Nanos) {
         self.retry.clear();
-        self.begin(now);
+        self.start_reading(now);
     }
 
-    /// When to look whether it was read, or to read it again.
-    fn due(&self) -> Option<Nanos> {
-        if self.reading.is_some() { Some(self.look) } else { self.retry.next_deadline() }
+    /// When to check whether the file has been read, or to read it again.
+    fn next_deadline(&self) -> Option<Nanos> {
+        if self.reading.is_some() { Some(self.poll_at) } else { self.retry.next_deadline() }
     }
 
-    /// Begins to read the file, on a thread of its own: a disk that hangs must not stop the loop.
-    fn begin(&mut self, now: Nanos) {
-        self.look = now + LOOK;
+    /// Starts to read the file on a separate thread, so that a blocked disk does not stop the event loop.
+    fn start_reading(&mut self, now: Nanos) {
+        self.poll_at = now + FILE_POLL_INTERVAL;
         let Some(path) = self.path.clone() else {
-            return tracing::info!("the operator's file is read at the start only; nothing is changed");
+            return tracing::info!("the operator's file is read at startup only; nothing is changed");
         };
-        let (tell, told) = sync_channel(1);
+        let (sender, receiver) = sync_channel(1);
         let cells = self.cells;
-        let read = move || drop(tell.send(NodesFile::from_file(&path, cells)));
+        let read = move || drop(sender.send(NodesFile::from_file(&path, cells)));
         match std::thread::Builder::new().name("nodes".into()).spawn(read) {
-            Ok(_) => self.reading = Some(told),
+            Ok(_) => self.reading = Some(receiver),
             Err(e) => {
                 if self.retry.on_failure(&e.to_string(), now) {
-                    tracing::error!("the file of nodes can't be read: {e}");
+                    tracing::error!("no thread to read the nodes file: {e}");
                 }
             }
         }
     }
 
-    /// What was read, once it is.
-    fn take(&mut self, now: Nanos) -> Option<NodesFile> {
+    /// The nodes file, once it has been read.
+    fn poll(&mut self, now: Nanos) -> Option<NodesFile> {
         if self.reading.is_none() && self.retry.is_due(now) {
-            self.begin(now);
+            self.start_reading(now);
         }
         let read = match self.reading.as_ref()?.try_recv() {
             Err(TryRecvError::Empty) => {
-                self.look = now + LOOK;
+                self.poll_at = now + FILE_POLL_INTERVAL;
                 return None;
             }
             Err(TryRecvError::Disconnected) => None,
@@ -121,10 +123,10 @@
         match read? {
             Ok(file) => {
                 self.retry.clear();
-                tracing::info!("file of nodes read again: {} nodes", file.node.len());
+                tracing::info!("nodes file read again: {} nodes", file.node.len());
                 Some(file)
             }
-            // Guards the service against a file that is half written or wrong.
+            // A file that is partly written or invalid does not replace the current nodes.
             Err(e) => {
                 if self.retry.on_failure(&e.to_string(), now) {
                     tracing::error!("the nodes stay as they were: {e}");
@@ -135,155 +137,166 @@
     }
 }
 
-/// Builds a broker that listens; tells where, listener by listener.
-pub fn broker(told: OperatorConfig) -> Result<(Broker<CatalogueFrontend>, Vec<SocketAddr>), BrokerError> {
+/// Builds a broker. Returns it with the addresses of its listeners, in the order of the operator's file.
+pub fn broker(operator: OperatorConfig) -> Result<(Broker<CatalogueFrontend>, Vec<SocketAddr>), BrokerError> {
     let clock = Clock::start();
     let now = clock.now();
     let seed = RandomState::new().build_hasher().finish();
-    let settings = told.settings();
-    let m = &told.membership;
-    let (kept, keeper) = m.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
-    let mut roster = Registry::new(RegistrySettings {
+    let settings = operator.settings();
+    let m = &operator.membership;
+    let (snapshots, snapshot_writer) = m.keep.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
+    let mut registry = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
         warm_up: settings.slow_start_time,
         mean_change_interval: (m.changes_every_h * 3_600e9) as Nanos,
         default_list_age: m.presumed_age_s * 1_000_000_000,
         silence_timeout: settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(0) / 5,
-        zones: told.node.iter().map(|n| (n.zone.clone(), told.zone_number(&n.zone))).collect(),
+        zones: operator.node.iter().map(|n| (n.zone.clone(), operator.zone_number(&n.zone))).collect(),
         kinds: [Protocol::Sru, Protocol::Z3950].map(|p| p.name().to_owned()).into(),
         seed,
     });
     let limits = SharedLimits {
-        descriptors: told.limits.sockets,
+        descriptors: operator.limits.sockets,
         max_in_flight: settings.max_in_flight as usize,
         retry_budget_window: settings.retry_budget.map_or(0, |b| b.window),
     };
-    let handed = told.operation.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, limits, now));
-    if let Some(joined) = &handed {
-        roster.restore(&joined.snapshots, now);
+    let hot_restart =
+        operator.operation.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, limits, now));
+    if let Some(joined) = &hot_restart {
+        registry.restore(&joined.snapshots, now);
     }
-    roster.restore(&kept, now);
+    registry.restore(&snapshots, now);
     let path = m.nodes_file.clone();
     let files = NodeFiles {
-        own: told.node.clone(),
+        configured: operator.node.clone(),
         path,
         cells: settings.cells,
         reading: None,
-        look: 0,
+        poll_at: 0,
         retry: ReloadRetry::default(),
     };
     let file = files.path.as_deref().map(|p| NodesFile::from_file(p, settings.cells)).transpose()?;
     let file = file.unwrap_or_default();
-    let (facts, rules) = (files.facts(&file), files.rules(&file));
-    let named = facts.len();
-    if named > 0 {
-        roster.set_operator_nodes(facts, now);
+    let (records, rules) = (files.records(&file), files.rules(&file));
+    let node_count = records.len();
+    if node_count > 0 {
+        registry.set_operator_nodes(records, now);
     }
     let routing = Routing::new(RoutingSettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
         rules,
-        warm_up: told.routing.warm_up_ms * 1_000_000,
-        failback_delay: told.routing.hold_ms * 1_000_000,
+        warm_up: operator.routing.warm_up_ms * 1_000_000,
+        failback_delay: operator.routing.hold_ms * 1_000_000,
     });
-    let out = handed
+    let suspended = hot_restart
         .iter()
         .flat_map(|joined| joined.overrides.suspended_servers())
         .map(str::to_owned)
         .collect::<Vec<_>>();
-    let mut membership = MembershipDriver::new(roster, keeper).with_suspended(out).with_routing(routing);
-    if told.cluster.is_some() {
+    let mut membership =
+        MembershipDriver::new(registry, snapshot_writer).with_suspended(suspended).with_routing(routing);
+    if operator.cluster.is_some() {
         membership = membership.share_hints();
     }
     if let Some(discovery) = m.discovery {
-        let schedule = WatchSchedule::for_shared_discovery(DIAL, DRAIN_GRACE, settings.brokers, seed);
-        let mut watch = DiscoveryWatch::new(ROSTER, discovery, schedule);
+        let schedule =
+            WatchSchedule::for_shared_discovery(DISCOVERY_DIAL_TIMEOUT, DRAIN_GRACE, settings.brokers, seed);
+        let mut watch = DiscoveryWatch::new(DISCOVERY, discovery, schedule);
         watch.request(now);
         membership = membership.with_watch(watch, LeaseTerms::for_polled(DRAIN_GRACE), now);
     }
-    let mut exchange = QueryEngine::new(settings, seed, now).map_err(ConfigError::rejected)?;
-    // Guards the limit on descriptors: what connections to nodes may take is not given to clients. Where nodes may
-    // come and go, that is half of them.
-    let apart = told.operation.listen.map_or(0, |_| admin::MAX_CONNECTIONS)
-        + told.cluster.as_ref().map_or(0, |_| cluster::MAX_PEER_CONNECTIONS + cluster::RESERVED_DESCRIPTORS);
-    let most = told.limits.sockets - SPARE - apart;
-    let changing = m.discovery.is_some() || files.path.is_some();
-    let all = named * told.limits.connections_per_node;
-    let to_nodes = if changing { most / 2 } else { all };
-    if most.saturating_sub(to_nodes) < 8 {
-        let what = "limits: the connections to nodes leave no sockets for clients";
-        return Err(ConfigError::rejected(what).into());
+    let mut engine = QueryEngine::new(settings, seed, now).map_err(ConfigError::rejected)?;
+    // Keeps to the limit on descriptors: those for connections to nodes are not available to clients. If the
+    // set of nodes can change, these are half of them.
+    let reserved = operator.operation.listen.map_or(0, |_| admin::MAX_CONNECTIONS)
+        + operator
+            .cluster
+            .as_ref()
+            .map_or(0, |_| cluster::MAX_PEER_CONNECTIONS + cluster::RESERVED_DESCRIPTORS);
+    let available = operator.limits.sockets - SPARE_DESCRIPTORS - reserved;
+    let nodes_may_change = m.discovery.is_some() || files.path.is_some();
+    let needed = node_count * operator.limits.connections_per_node;
+    let node_connections = if nodes_may_change { available / 2 } else { needed };
+    if available.saturating_sub(node_connections) < 8 {
+        let message = "limits: the connections to nodes leave no sockets for clients";
+        return Err(ConfigError::rejected(message).into());
     }
-    let mut net =
-        PollLoop::new(Pool::with_byte_limit(BUFFERS), most - to_nodes).map_err(BrokerError::io("poll"))?;
-    let mut nodes = Nodes::new(NODES, &told.partitions.database, told.limits.clone(), to_nodes);
-    let mut hands = FrontendContext { now, net: &mut net, engine: &mut exchange };
-    membership.propagate_changes(&mut hands, |c| nodes.update_node(c));
-    // The list of nodes is in before the first client can come.
-    exchange.advance(now);
-    let mut listening = Vec::new();
-    for l in &told.listener {
-        let owner = if l.protocol == Protocol::Sru { SRU } else { Z3950 };
-        let at = match l.descriptor {
-            Some(fd) => inherited::listener(fd, l.listen).and_then(|socket| net.listen_on(socket, owner)),
-            None => net.listen(l.listen, owner),
+    let mut net = PollLoop::new(Pool::with_byte_limit(MAX_BUFFER_BYTES), available - node_connections)
+        .map_err(BrokerError::io("poll"))?;
+    let mut nodes =
+        Nodes::new(NODES, &operator.partitions.database, operator.limits.clone(), node_connections);
+    let mut context = FrontendContext { now, net: &mut net, engine: &mut engine };
+    membership.propagate_changes(&mut context, |c| nodes.update_node(c));
+    // The engine has the list of nodes before the first client connects.
+    engine.advance(now);
+    let mut addrs = Vec::new();
+    for listener in &operator.listener {
+        let owner = if listener.protocol == Protocol::Sru { SRU } else { Z3950 };
+        let addr = match listener.descriptor {
+            Some(fd) => {
+                inherited::listener(fd, listener.listen).and_then(|socket| net.listen_on(socket, owner))
+            }
+            None => net.listen(listener.listen, owner),
         };
-        let at = at.map_err(BrokerError::io("listen"))?;
-        tracing::info!("{} listens at {at} for {:?}", told.name, l.protocol);
-        listening.push(at);
+        let addr = addr.map_err(BrokerError::io("listen"))?;
+        tracing::info!("{} listens at {addr} for {:?}", operator.name, listener.protocol);
+        addrs.push(addr);
     }
-    let (ops, cluster, name) = (told.operation.listen, told.cluster.clone(), told.name.clone());
-    let clients = Clients::new(told, SRU, most - to_nodes);
-    let front = CatalogueFrontend { clients, nodes, membership, files, most_to_nodes: to_nodes };
-    let mut broker = BrokerBuilder::new(clock, net, exchange, front);
-    if let Some(ops) = ops {
-        broker.listen_admin(ops);
+    let (admin_addr, cluster, name) =
+        (operator.operation.listen, operator.cluster.clone(), operator.name.clone());
+    let clients = Clients::new(operator, SRU, available - node_connections);
+    let frontend =
+        CatalogueFrontend { clients, nodes, membership, files, max_node_connections: node_connections };
+    let mut broker = BrokerBuilder::new(clock, net, engine, frontend);
+    if let Some(admin_addr) = admin_addr {
+        broker.listen_admin(admin_addr);
     }
-    if let Some(joined) = handed {
+    if let Some(joined) = hot_restart {
         broker.join_hot_restart(joined.hot_restart, joined.overrides);
     }
     if let Some(cluster) = cluster {
         broker.join_cluster(&cluster, &name);
     }
-    Ok((broker.build()?, listening))
+    Ok((broker.build()?, addrs))
 }
 
 impl Frontend for CatalogueFrontend {
     type Query = Sought;
     type Value = PartValue;
 
-    fn on_event(&mut self, event: NetEvent, hands: &mut FrontendContext<Sought, PartValue>) {
+    fn on_event(&mut self, event: NetEvent, context: &mut FrontendContext<Sought, PartValue>) {
         match event.owner() {
-            Some(NODES) => self.nodes.on_event(event, hands),
-            Some(ROSTER) => self.membership.on_event(event, hands.now, hands.net),
-            Some(_) => self.clients.on_event(event, hands),
+            Some(NODES) => self.nodes.on_event(event, context),
+            Some(DISCOVERY) => self.membership.on_event(event, context.now, context.net),
+            Some(_) => self.clients.on_event(event, context),
             None => {}
         }
     }
 
-    fn tick(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
-        if let Some(file) = self.files.take(hands.now) {
-            let (facts, rules) = (self.files.facts(&file), self.files.rules(&file));
-            self.membership.set_operator_nodes(facts, rules, hands.now);
+    fn tick(&mut self, context: &mut FrontendContext<Sought, PartValue>) {
+        if let Some(file) = self.files.poll(context.now) {
+            let (records, rules) = (self.files.records(&file), self.files.rules(&file));
+            self.membership.set_operator_nodes(records, rules, context.now);
         }
-        self.membership.tick(hands, |c| self.nodes.update_node(c));
-        self.nodes.tick(hands);
-        self.clients.tick(hands);
+        self.membership.tick(context, |c| self.nodes.update_node(c));
+        self.nodes.tick(context);
+        self.clients.tick(context);
     }
 
     fn perform(
         &mut self,
-        work: EngineAction<Sought, PartValue>,
-        hands: &mut FrontendContext<Sought, PartValue>,
+        action: EngineAction<Sought, PartValue>,
+        context: &mut FrontendContext<Sought, PartValue>,
     ) {
-        match work {
-            EngineAction::Call { replica, parts } => self.nodes.call(replica, parts, hands),
+        match action {
+            EngineAction::Call { replica, parts } => self.nodes.call(replica, parts, context),
             EngineAction::CancelAttempt { replica, attempt } => {
-                self.nodes.cancel(replica, attempt, hands.now)
+                self.nodes.cancel(replica, attempt, context.now)
             }
             EngineAction::Respond { query, outcome: answer } => {
-                self.clients.on_query_outcome(query, answer, hands)
+                self.clients.on_query_outcome(query, answer, context)
             }
-            // Membership itself asks for the list, and nodes are not probed.
+            // The membership driver requests the list itself, and nodes get no health checks.
             EngineAction::WatchEndpoints | EngineAction::HealthCheck { .. } => {}
         }
     }
@@ -293,7 +306,7 @@
             self.nodes.next_deadline(),
             self.clients.next_deadline(),
             self.membership.next_deadline(),
-            self.files.due(),
+            self.files.next_deadline(),
         ]
         .into_iter()
         .flatten()
@@ -304,19 +317,19 @@
         self.clients.set_ready(ready);
     }
 
-    fn set_drain_phase(&mut self, step: DrainPhase) {
-        self.clients.set_closing(step >= DrainPhase::ClosingAfterAnswer);
+    fn set_drain_phase(&mut self, phase: DrainPhase) {
+        self.clients.set_closing(phase >= DrainPhase::ClosingAfterAnswer);
     }
 
-    /// The file of nodes alone may change while the broker serves; all else holds from the start to the end.
-    fn reload(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
-        self.files.reload(hands.now);
+    /// Reloads the nodes file. All other settings are fixed at startup.
+    fn reload(&mut self, context: &mut FrontendContext<Sought, PartValue>) {
+        self.files.reload(context.now);
     }
 
-    fn close_idle(&mut self, hands: &mut FrontendContext<Sought, PartValue>) {
-        self.clients.close_idle(hands);
+    fn close_idle(&mut self, context: &mut FrontendContext<Sought, PartValue>) {
+        self.clients.close_idle(context);
         if self.clients.is_empty() {
-            self.nodes.close_all(hands.net);
+            self.nodes.close_all(context.net);
         }
     }
 
@@ -341,14 +354,16 @@
     }
 
     fn limit_descriptors(&mut self, descriptors: usize, net: &mut PollLoop) {
-        // What is held stays; only the rest is divided. Callers at the second address may still come.
-        let apart = admin::MAX_CONNECTIONS.saturating_sub(net.accepted_in_class(ConnectionClass::Admin));
-        let rest = descriptors.saturating_sub(net.descriptors() + apart);
-        let to_nodes = (self.nodes.connection_count() + rest / 2).min(self.most_to_nodes);
-        let clients = net.accepted() + rest - (to_nodes - self.nodes.connection_count()).min(rest);
-        self.nodes.set_connection_limit(to_nodes.max(1));
-        self.clients.set_connection_limit(clients);
-        net.set_accepted_limit(clients);
+        // Open connections are kept, and only the remaining descriptors are divided. Descriptors of admin
+        // connections that are not open yet stay reserved.
+        let reserved = admin::MAX_CONNECTIONS.saturating_sub(net.accepted_in_class(ConnectionClass::Admin));
+        let remaining = descriptors.saturating_sub(net.descriptors() + reserved);
+        let node_connections = (self.nodes.connection_count() + remaining / 2).min(self.max_node_connections);
+        let max_clients =
+            net.accepted() + remaining - (node_connections - self.nodes.connection_count()).min(remaining);
+        self.nodes.set_connection_limit(node_connections.max(1));
+        self.clients.set_connection_limit(max_clients);
+        net.set_accepted_limit(max_clients);
     }
 
     fn open_ids(&self) -> Vec<String> {
