--- a/src/admin/client/connection.rs
+++ b/src/admin/client/connection.rs
@@ -1,20 +1,20 @@
-//! One request to the admin endpoint.
+//! Sends one request to the admin endpoint and reads its response.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest response that is read, bytes.
+/// Maximum length of a response, bytes. The rest of a longer one is not read.
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
-/// Longest time for a connection to be established.
+/// Maximum time for a connection to be established.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the broker responded.
+/// A response of the broker.
 #[derive(Debug)]
 pub(super) enum Response {
-    /// It carried the request out, or sent a report.
+    /// The request was executed, or a report was sent.
     Success(String),
-    /// It rejected the request, for this reason.
+    /// The request was rejected, for this reason.
     Failure(String),
 }
 
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// If the broker can't be reached, does not respond in time, or sends something else than a response.
+/// If the broker can't be reached, does not respond in time, or sends anything but a valid response.
 pub(super) fn call(address: SocketAddr, line: &str, timeout: Duration) -> io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&address, timeout.min(MAX_CONNECT_TIMEOUT))?;
     stream.set_read_timeout(Some(timeout))?;
@@ -41,6 +41,6 @@
     } else if let Some(report) = text.strip_suffix("\nEOT\n") {
         Ok(Response::Success(report.trim().to_owned()))
     } else {
-        Err(io::Error::new(ErrorKind::InvalidData, "what came is no answer to a call"))
+        Err(io::Error::new(ErrorKind::InvalidData, "not a response of the admin endpoint"))
     }
 }
--- a/src/admin/client/mod.rs
+++ b/src/admin/client/mod.rs
@@ -1,4 +1,4 @@
-//! The command that calls a broker's admin endpoint, for people and for scripts.
+//! The command `operate`, which sends a request to a broker's admin endpoint, interactively or in a script.
 
 mod connection;
 mod output;
@@ -13,15 +13,15 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Exit code where the broker rejected the request. 0 is a success, and 2 a mistake in the command.
+/// Exit code if the broker rejected the request. 0 is success, and 2 a usage error.
 const EXIT_REJECTED: u8 = 1;
-/// Exit code where the broker can't be reached or does not respond.
+/// Exit code if the broker can't be reached or does not respond.
 const EXIT_NO_RESPONSE: u8 = 3;
-/// Exit code where what `--wait` waits for did not come in time.
+/// Exit code if the condition of `--wait` was not met in time.
 const EXIT_TIMED_OUT: u8 = 4;
-/// Time between two requests while waiting.
+/// Interval between two requests of `--wait`.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest time that `--within` may allow, seconds.
+/// Maximum value of `--within`, seconds.
 const MAX_TIMEOUT_S: u64 = 24 * 3600;
 
 /// Calls a broker's second address. Exits with 0 for a yes, 1 for a no, 2 for a mistake in the command, 3
@@ -98,7 +98,7 @@
 }
 
 impl AdminCommand {
-    /// The request line, without what `--by`, `--for` and `--why` add.
+    /// The request line without the arguments from `--by`, `--for` and `--why`.
     fn request_line(&self) -> String {
         match self {
             AdminCommand::Status => "STATUS".into(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Whether it changes something, so that `--by`, `--for` and `--why` may be added.
+    /// Whether it changes state, and so accepts `--by`, `--for` and `--why`.
     fn is_operator_command(&self) -> bool {
         !matches!(
             self,
@@ -127,11 +127,11 @@
         )
     }
 
-    /// How `--wait` learns whether the command is complete; none where there is nothing to wait for.
+    /// How `--wait` checks whether the command is complete; `None` if there is nothing to wait for.
     fn completion_check(&self) -> Option<CompletionCheck> {
         let (request, awaited) = match self {
             AdminCommand::Pause { broker: None } => ("CLIENTS".into(), "clients are connected"),
-            AdminCommand::Suspend { id } => (format!("OUT {id}"), "attempts are out at the server"),
+            AdminCommand::Suspend { id } => (format!("OUT {id}"), "attempts are in flight at the server"),
             AdminCommand::Status | AdminCommand::Resume { broker: None } => {
                 ("STATUS".into(), "it does not serve yet")
             }
@@ -148,12 +148,12 @@
 /// A request that is repeated until its response shows that a command is complete.
 struct CompletionCheck {
     request: String,
-    /// What is still waited for, as printed with each response.
+    /// The unmet condition, as printed with each response.
     awaited: &'static str,
 }
 
 impl OperateArgs {
-    /// Sends the command, prints the response, and waits for completion where that was asked for.
+    /// Sends the command, prints the response, and waits for completion if `--wait` is set.
     pub fn run(self) -> ExitCode {
         let timeout = Duration::from_secs(self.within.clamp(1, MAX_TIMEOUT_S));
         let deadline = Instant::now() + timeout;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// The whole request line.
+    /// The complete request line.
     fn request_line(&self) -> String {
         let mut line = self.command.request_line();
         if self.command.is_operator_command() {
@@ -187,7 +187,7 @@
         line
     }
 
-    /// Calls once; where the status is waited for, until the broker responds with a success.
+    /// Sends the request once; with `--wait`, repeats `status` until the broker responds with a success.
     fn call_until(&self, line: &str, deadline: Instant) -> io::Result<Response> {
         let wait_until_success = self.wait && matches!(self.command, AdminCommand::Status);
         loop {
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Repeats the completion check until it succeeds, with a line whenever its response changes.
+    /// Repeats the completion check until it succeeds, and prints its response whenever that changes.
     fn wait_for_completion(&self, deadline: Instant) -> ExitCode {
         let Some(check) = self.command.completion_check() else { return ExitCode::SUCCESS };
         let mut last_response = String::new();
@@ -227,7 +227,7 @@
             let response = match call(self.address, &check.request, time_left(deadline)) {
                 Ok(Response::Success(text)) if text == "0" || text == "serving" => return ExitCode::SUCCESS,
                 Ok(Response::Success(text) | Response::Failure(text)) => text,
-                // One process may just hand over to the next.
+                // Calls may fail while the process hands over to its successor, so the check is repeated.
                 Err(error) => error.to_string(),
             };
             if response != last_response {
@@ -243,7 +243,7 @@
     }
 }
 
-/// The time until `deadline`, but never 0: sockets take that for no limit.
+/// The time until `deadline`, but never 0, which is not a valid timeout for a socket.
 fn time_left(deadline: Instant) -> Duration {
     deadline.saturating_duration_since(Instant::now()).max(Duration::from_millis(1))
 }
--- a/src/admin/client/output.rs
+++ b/src/admin/client/output.rs
@@ -1,17 +1,17 @@
-//! The reports of the admin endpoint as text for people.
+//! Formats the JSON reports of the admin endpoint as text.
 
 use serde_json::Value;
 use std::fmt::Write as _;
 
-/// The metrics as a table: a row for each class, then the figures of the whole broker. None if `line` is no
-/// such report.
+/// The metrics as a table: a row for each class, then the metrics of the whole broker. `None` if `line` is
+/// not such a report.
 pub(super) fn metrics_table(line: &str) -> Option<String> {
     let report: Value = serde_json::from_str(line).ok()?;
-    let figures = report.as_object()?;
+    let metrics = report.as_object()?;
     let mut out = format!("{:<24} {:>10} {:>10} {:>10}\n", "class", "ok", "shed", "errors");
-    for class in figures.get("ok")?.as_object()?.keys() {
+    for class in metrics.get("ok")?.as_object()?.keys() {
         let count_of =
-            |name: &str| figures.get(name).and_then(|f| f.get(class)).map_or("-".into(), Value::to_string);
+            |name: &str| metrics.get(name).and_then(|m| m.get(class)).map_or("-".into(), Value::to_string);
         let _ = writeln!(
             out,
             "{class:<24} {:>10} {:>10} {:>10}",
@@ -20,7 +20,7 @@
             count_of("errors")
         );
     }
-    for (name, value) in figures.iter().filter(|(_, v)| v.is_number()) {
+    for (name, value) in metrics.iter().filter(|(_, v)| v.is_number()) {
         let _ = writeln!(out, "{name:<24} {value:>10}");
     }
     Some(out)
@@ -30,7 +30,7 @@
     value.get(name).and_then(Value::as_str).unwrap_or("-")
 }
 
-/// The brokers of the cluster as a table. None if `line` is no such report.
+/// The brokers of the cluster as a table. `None` if `line` is not such a report.
 pub(super) fn peers_table(line: &str) -> Option<String> {
     let report: Value = serde_json::from_str(line).ok()?;
     let mut out = format!(
@@ -63,7 +63,7 @@
     Some(out)
 }
 
-/// The replicated state: an overview, then the commands on each key. None if `line` is no such report.
+/// The replicated state: an overview, then the commands on each key. `None` if `line` is not such a report.
 pub(crate) fn cluster_state_text(line: &str) -> Option<String> {
     let report: Value = serde_json::from_str(line).ok()?;
     let mut out = String::new();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The admin endpoint, for operators: one request a connection, one line each, one response.
+//! The admin endpoint, for operators: each connection carries one request line and one response.
 //!
-//! It has connections and buffers of its own, so that neither a crowd of clients nor one of idle callers
-//! keeps a request from its response. [`request`] defines requests and responses, [`server`] has the
-//! connections, and [`client`] is the command that calls them. The broker carries the requests out.
+//! It has its own connection limit and buffer pool, so that many clients or idle callers can't block a
+//! request. [`request`] defines requests and responses, [`server`] handles the connections, and [`client`]
+//! is the command that sends requests. The broker executes them.
 #![deny(
     missing_docs,
     rust_2018_idioms,
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -1,21 +1,21 @@
 //! The requests of the admin endpoint, one line each, and its responses.
 
-/// Longest request line without its end, bytes.
+/// Maximum length of a request line without its terminator, bytes.
 pub const MAX_LINE_BYTES: usize = 512;
-/// Longest time for which a command may be valid, seconds: a hundred years.
+/// Maximum validity of a command, seconds: a hundred years.
 const MAX_VALIDITY_S: u64 = 100 * 366 * 86_400;
-/// Longest part of an invalid request that its answer repeats, characters.
+/// Maximum length of the part of an invalid request that its response quotes, characters.
 const MAX_QUOTED_CHARS: usize = 32;
 
-/// What an operator may add to a command: `by=WHO for=SECONDS why=WORDS`, with the reason last, up to the
-/// line's end.
+/// The optional arguments of a command: `by=WHO for=SECONDS why=WORDS`. The reason comes last and extends to
+/// the end of the line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CommandOptions {
-    /// Who gives the command; empty if not stated.
+    /// Who issued the command; empty if not stated.
     pub operator: String,
-    /// Why it is given; empty if not stated.
+    /// Why it was issued; empty if not stated.
     pub reason: String,
-    /// For how long it is valid, seconds; none: until the next command on the same thing.
+    /// How long it is valid, seconds; `None`: until the next command on the same node or broker.
     pub valid_for_s: Option<u64>,
 }
 
@@ -26,17 +26,17 @@
     Status,
     /// The metrics.
     Metrics,
-    /// Suspend a node: it gets no new work.
+    /// Suspend a node: it receives no new work.
     Suspend(String, CommandOptions),
     /// Restore a suspended node.
     Restore(String, CommandOptions),
-    /// Pause a broker of the cluster, by default this one: clients are sent away.
+    /// Pause a broker of the cluster, by default this one: it turns clients away.
     Pause(Option<String>, CommandOptions),
     /// End a pause.
     Resume(Option<String>, CommandOptions),
     /// Remove a broker from the cluster for good.
     Remove(String, CommandOptions),
-    /// Admit a broker again that was removed.
+    /// Readmit a removed broker.
     Admit(String, CommandOptions),
     /// The brokers of the cluster, and which of them are up.
     Peers,
@@ -46,11 +46,11 @@
     Conflicts,
     /// The number of connected clients: a pause is complete at 0.
     Clients,
-    /// The number of attempts in flight at a node: work on a suspended one can begin at 0.
+    /// The number of attempts in flight at a node: maintenance of a suspended one can begin at 0.
     InFlight(String),
 }
 
-/// Why a line is no valid request. The text is the answer that the caller reads.
+/// Why a line is not a valid request. The text is sent as the response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The line is blank.
@@ -74,19 +74,19 @@
     /// The request needs the name of a broker.
     #[error("{0} needs the name of a broker")]
     MissingBroker(&'static str),
-    /// The request takes no argument, or no further one.
+    /// The request takes no argument, or no further ones.
     #[error("{0} takes nothing more behind it")]
     UnexpectedArgument(&'static str),
-    /// The value of `for=` is no number of seconds, or out of range.
+    /// The value of `for=` is not a number of seconds, or is out of range.
     #[error("for={0} is no number of seconds, or too many")]
     InvalidDuration(String),
 }
 
-/// Parses a line without its end.
+/// Parses a line without its terminator.
 ///
 /// # Errors
 ///
-/// If the line is no valid request.
+/// If the line is not a valid request.
 pub fn parse(line: &[u8]) -> Result<AdminRequest, RequestError> {
     if line.len() > MAX_LINE_BYTES {
         return Err(RequestError::TooLong);
@@ -142,7 +142,7 @@
     Ok(request(name.to_owned(), parse_options(command, options)?))
 }
 
-/// Without a name the request is meant for the broker that gets it.
+/// Without a name, the request applies to the broker that receives it.
 fn with_optional_broker(
     command: &'static str,
     arguments: &str,
@@ -156,14 +156,14 @@
     }
 }
 
-/// The first word of a text, and the rest.
+/// Splits a text into its first word and the rest.
 fn split_word(text: &str) -> Option<(&str, &str)> {
     let text = text.trim_ascii();
     let end = text.find(|c: char| c.is_ascii_whitespace()).unwrap_or(text.len());
     if text.is_empty() { None } else { Some((&text[..end], text[end..].trim_ascii())) }
 }
 
-/// Bounds what of an invalid request is repeated in its answer.
+/// Limits a quotation from an invalid request to [`MAX_QUOTED_CHARS`].
 fn truncated(word: &str) -> String {
     word.chars().take(MAX_QUOTED_CHARS).collect()
 }
@@ -197,19 +197,19 @@
 /// A response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminResponse {
-    /// The request was carried out, or the answer is yes; with a short text.
+    /// The request was executed, or the queried condition holds; with a short text.
     Success(String),
     /// A report, one line of JSON.
     Report(String),
-    /// The request was rejected, or the answer is no; with the reason.
+    /// The request was rejected, or the queried condition does not hold; with the reason.
     Failure(String),
 }
 
 impl AdminResponse {
-    /// The response as it is sent.
+    /// The response in its wire format.
     pub fn encode(&self) -> String {
         match self {
-            AdminResponse::Success(words) => format!("SUCCESS {words}\n"),
+            AdminResponse::Success(text) => format!("SUCCESS {text}\n"),
             AdminResponse::Report(line) => format!("{line}\nEOT\n"),
             AdminResponse::Failure(reason) => format!("FAILURE {reason}\n"),
         }
--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The connections of the admin endpoint. Each brings one request and gets one response.
+//! The connections of the admin endpoint. Each carries one request and one response.
 
 use super::request::{self, AdminRequest, AdminResponse, MAX_LINE_BYTES, RequestError};
 use crate::api::Nanos;
@@ -7,18 +7,19 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The owner under which its connections are registered at the poll loop. No frontend uses owners near it.
+/// The owner id of its connections in the poll loop, far from the ids of the frontends.
 pub const OWNER: u8 = 200;
-/// Most connections at once. Beyond them the one that has been silent for longest is closed.
+/// Maximum number of connections. Above it, the oldest one without a complete request is closed.
 pub const MAX_CONNECTIONS: usize = 16;
-/// Time in which a caller has to send a whole line, nanoseconds.
+/// Time limit for a caller to send a complete line, nanoseconds.
 const REQUEST_TIMEOUT: Nanos = 10_000_000_000;
 /// Size of a buffer, bytes.
 const BUFFER_BYTES: usize = 4096;
-/// Buffers in all: each caller may use one, and as many again wait to be written.
+/// Number of buffers: each caller may use one to send its request, and the responses that wait to be
+/// written need as many again.
 const BUFFER_COUNT: usize = 4 * MAX_CONNECTIONS;
 
-/// A caller whose line has not come whole.
+/// A caller that has not sent a complete line.
 #[derive(Debug)]
 struct PendingCaller {
     conn: ConnId,
@@ -26,23 +27,23 @@
     accepted_at: Nanos,
 }
 
-/// What reading from a caller has brought.
+/// The result of a read from a caller.
 enum LineRead {
-    /// There may be more to read.
+    /// Bytes were read, and more may be available.
     Progress,
-    /// Nothing more can be read for now.
+    /// No more bytes are available at present.
     Blocked,
-    /// The caller closed the connection without a request.
+    /// The caller closed the connection without sending a request.
     Closed,
-    /// A whole line, or what can't become a valid one.
+    /// A complete line, or an error that more bytes can't correct.
     Line(Result<AdminRequest, RequestError>),
 }
 
-/// The admin endpoint: its callers, and the requests that have come whole.
+/// The admin endpoint: its callers, and the complete requests that wait to be executed.
 #[derive(Debug)]
 pub struct AdminServer {
     local_addr: SocketAddr,
-    /// The oldest first.
+    /// Ordered by the time of acceptance, oldest first.
     pending: VecDeque<PendingCaller>,
     requests: VecDeque<(ConnId, AdminRequest)>,
 }
@@ -52,7 +53,7 @@
     ///
     /// # Errors
     ///
-    /// If the operating system refuses the socket.
+    /// If the socket can't be opened.
     pub fn open(addr: SocketAddr, net: &mut PollLoop) -> io::Result<AdminServer> {
         let pool = Pool::with_buffer_size(BUFFER_COUNT, BUFFER_BYTES);
         let local_addr = net.listen_with_pool(addr, OWNER, ConnectionClass::Admin, MAX_CONNECTIONS, pool)?;
@@ -64,7 +65,7 @@
         self.local_addr
     }
 
-    /// The next request to be carried out, and the connection on which its response is expected.
+    /// The next request to execute, and the connection for its response.
     pub fn next_request(&mut self) -> Option<(ConnId, AdminRequest)> {
         self.requests.pop_front()
     }
@@ -110,7 +111,7 @@
                 }
                 LineRead::Line(request) => {
                     let caller = self.remove(conn);
-                    // A connection has one line; what comes behind it is dropped.
+                    // A connection carries one line; bytes after it are discarded.
                     let length = net.data(conn).len();
                     net.consume(conn, length);
                     match request {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Sends the response to a request; that ends its connection.
+    /// Sends the response to a request, and closes its connection once it is written.
     pub fn respond(&mut self, conn: ConnId, response: &AdminResponse, net: &mut PollLoop) {
         if net.send(conn, response.encode().as_bytes()).is_err() {
             return net.close(conn);
@@ -130,7 +131,7 @@
         net.close_after_flush(conn);
     }
 
-    /// Closes callers whose time to send a request is over.
+    /// Closes the connections of callers that have not sent a request within `REQUEST_TIMEOUT`.
     pub fn tick(&mut self, now: Nanos, net: &mut PollLoop) {
         while let Some(caller) =
             self.pending.pop_front_if(|caller| caller.accepted_at + REQUEST_TIMEOUT <= now)
@@ -139,7 +140,7 @@
         }
     }
 
-    /// When [`AdminServer::tick`] is next worth calling.
+    /// When [`AdminServer::tick`] next has work to do.
     pub fn next_deadline(&self) -> Option<Nanos> {
         self.pending.front().map(|caller| caller.accepted_at + REQUEST_TIMEOUT)
     }
@@ -152,7 +153,7 @@
     match (line_end, outcome) {
         (Some(line_end), _) => LineRead::Line(request::parse(data[..line_end].trim_ascii_end())),
         (None, _) if data.len() > MAX_LINE_BYTES => LineRead::Line(Err(RequestError::TooLong)),
-        // The end of the line may be missing where the caller has closed its side.
+        // The line terminator is optional if the caller has closed its sending side.
         (None, ReadOutcome::Closed) if !data.is_empty() => {
             LineRead::Line(request::parse(data.trim_ascii_end()))
         }
@@ -165,7 +166,7 @@
 fn reject(conn: ConnId, caller: Option<PendingCaller>, error: RequestError, now: Nanos, net: &mut PollLoop) {
     let address = caller.map_or("?".into(), |caller| caller.address.to_string());
     tracing::info!(caller = %address, reason = %error, "admin request rejected");
-    // A caller that is still sending reads its response before the connection breaks.
+    // A caller that is still sending can read its response before the connection is reset.
     let response = AdminResponse::Failure(error.to_string());
     let _ = net.send(conn, response.encode().as_bytes());
     net.close_lingering(conn, now);
