--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its arguments, and the commands that they stand for.
+//! The command line: its arguments, and the commands that they run.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -23,7 +23,7 @@
 
 const NANOS_PER_HOUR: f64 = 3_600e9;
 
-/// Exit code for arguments that can't be used, as clap has it.
+/// Exit code for invalid arguments, the same as clap's.
 const EXIT_USAGE: u8 = 2;
 
 /// A broker for sharded, replicated services, and a translator between their protocols.
@@ -139,25 +139,25 @@
     Jk(ImportSource),
 }
 
-/// Translates the arguments that were used before there were commands.
+/// Translates the legacy options `--catalogue` and `--import` to the subcommands that replaced them.
 fn translate_legacy_arguments(mut args: Vec<String>) -> Vec<String> {
-    let words: Vec<&str> = args.iter().map(String::as_str).collect();
-    let instead: &[&str] = match words[..] {
+    let given: Vec<&str> = args.iter().map(String::as_str).collect();
+    let replacement: &[&str] = match given[..] {
         [_, "--catalogue", ..] => &["serve", "catalogue"],
         [_, "--import", ..] => &["import"],
         _ => return args,
     };
-    args.splice(1..2, instead.iter().map(|word| (*word).to_owned()));
+    args.splice(1..2, replacement.iter().map(|argument| (*argument).to_owned()));
     args
 }
 
-/// Runs the command that the arguments (with the program's name first) stand for; without any, serves the platform.
+/// Runs the command that the arguments (with the program's name first) select, by default `serve platform`.
 ///
-/// The exit code is 0 for a success, 1 for a failure, and 2 for arguments that can't be used.
+/// The exit code is 0 for success, 1 for a failure, and 2 for invalid arguments.
 pub fn main(args: impl Iterator<Item = String>) -> ExitCode {
     let cli = match Cli::try_parse_from(translate_legacy_arguments(args.collect())) {
         Ok(cli) => cli,
-        // Help and the version are printed as asked for, anything else is a mistake.
+        // Requests for help or the version come as errors too; their exit code is 0.
         Err(e) => {
             let _ = e.print();
             return ExitCode::from(e.exit_code() as u8);
@@ -182,7 +182,7 @@
     }
 }
 
-/// The description of the command line, against which the documentation can be checked.
+/// The clap definition of the command line, against which the documentation is checked.
 pub fn command() -> clap::Command {
     Cli::command()
 }
@@ -202,7 +202,7 @@
 }
 
 fn serve_platform() -> Result<(), BrokerError> {
-    // Before it listens: a signal that comes right after that must not kill the process.
+    // Handlers are installed before the broker listens: a signal right after that must not kill the process.
     let signals = Signals::catch().map_err(BrokerError::io("signals"))?;
     let (mut broker, _) = platform::broker(PlatformConfig::from_env()?)?;
     broker.handle_signals(signals)?;
@@ -216,19 +216,19 @@
     broker.run()
 }
 
-/// Prints all faults of a configuration to standard error, one a line.
+/// Prints all errors of a configuration to standard error, one per line.
 fn check(file: &Path) -> ExitCode {
-    let faults = if file.extension().is_some_and(|e| e == "json") {
+    let errors = if file.extension().is_some_and(|e| e == "json") {
         PlatformConfig::from_file(file).err().into_iter().map(|e| e.message()).collect()
     } else {
         OperatorConfig::faults(file)
     };
-    faults.iter().for_each(|fault| eprintln!("{fault}"));
-    if faults.is_empty() {
+    errors.iter().for_each(|error| eprintln!("{error}"));
+    if errors.is_empty() {
         println!("{}: sound", file.display());
         return ExitCode::SUCCESS;
     }
-    eprintln!("{}: {} in all", file.display(), faults.len());
+    eprintln!("{}: {} in all", file.display(), errors.len());
     ExitCode::FAILURE
 }
 
@@ -237,27 +237,27 @@
         eprintln!("--changes-every {changes_every}: must be over 0");
         return ExitCode::from(EXIT_USAGE);
     }
-    let StoredSnapshots { snapshots: lists, problems: faults } = snapshot_store::read_path(path);
-    faults.iter().for_each(|fault| eprintln!("{fault}"));
+    let StoredSnapshots { snapshots, problems } = snapshot_store::read_path(path);
+    problems.iter().for_each(|problem| eprintln!("{problem}"));
     let now = Clock::start().now();
-    if !lists.is_empty() {
-        let report = StatusReport::new(&lists, now, (changes_every * NANOS_PER_HOUR) as Nanos);
+    if !snapshots.is_empty() {
+        let report = StatusReport::new(&snapshots, now, (changes_every * NANOS_PER_HOUR) as Nanos);
         if json {
             println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
         } else {
             print!("{report}");
         }
-    } else if faults.is_empty() {
+    } else if problems.is_empty() {
         eprintln!("{}: no list is kept there", path.display());
     }
-    success_if(faults.is_empty() && !lists.is_empty())
+    success_if(problems.is_empty() && !snapshots.is_empty())
 }
 
-/// Reads a broker's cluster state from a directory and prints what is unsound there; returns whether nothing is.
+/// Reads a broker's cluster state from a directory and prints its errors; returns it and whether it is valid.
 fn read_cluster_state(dir: &Path) -> (StateStore, bool) {
-    let (store, faults) = cluster::read_directory(dir);
-    faults.iter().for_each(|fault| eprintln!("{fault}"));
-    (store, faults.is_empty())
+    let (store, errors) = cluster::read_directory(dir);
+    errors.iter().for_each(|error| eprintln!("{error}"));
+    (store, errors.is_empty())
 }
 
 fn print_cluster_state(report: &serde_json::Value, json: bool) {
@@ -270,20 +270,20 @@
 }
 
 fn show_state(dir: &Path, json: bool) -> ExitCode {
-    let (store, sound) = read_cluster_state(dir);
+    let (store, valid) = read_cluster_state(dir);
     print_cluster_state(&cluster::store_report(&store, Clock::start().now()), json);
-    success_if(sound)
+    success_if(valid)
 }
 
 fn diff_state(dir: &Path, other: Option<&Path>, json: bool) -> ExitCode {
-    let (first, first_sound) = read_cluster_state(dir);
-    let (second, second_sound) = other.map(read_cluster_state).unzip();
+    let (first, first_valid) = read_cluster_state(dir);
+    let (second, second_valid) = other.map(read_cluster_state).unzip();
     let (report, differs) = cluster::difference_report(&first, second.as_ref(), Clock::start().now());
     print_cluster_state(&report, json);
-    success_if(first_sound && second_sound.unwrap_or(true) && !differs)
+    success_if(first_valid && second_valid.unwrap_or(true) && !differs)
 }
 
-/// Writes the operator's file to standard output, and what has no counterpart to standard error.
+/// Writes the operator's file to standard output, and settings without a counterpart to standard error.
 fn run_import(
     read: impl Fn(&str, Option<&str>) -> Result<import::Imported, import::ImportError>,
     source: &ImportSource,
