--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! The program's log: one line an event on standard error, as text or JSON, at a limited rate.
+//! The program's log: one line per event on standard error, as text or JSON, at a limited rate.
 #![deny(
     missing_docs,
     rust_2018_idioms,
@@ -20,22 +20,22 @@
 use tracing_subscriber::registry::LookupSpan;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Most lines of one class in a second. Guards the poll loop: peers must not be able to make it write all day.
+/// Maximum number of lines of one class per second. Keeps peers from occupying the poll loop with log writes.
 pub const MAX_LINES_PER_SECOND: u32 = 200;
 
-/// The environment variable that sets the level where the command line does not.
+/// The environment variable that sets the level if the command line does not.
 const LEVEL_VARIABLE: &str = "PEBBLETURN_LOG";
-/// The environment variable that sets the format where the command line does not.
+/// The environment variable that sets the format if the command line does not.
 const FORMAT_VARIABLE: &str = "PEBBLETURN_LOG_FORMAT";
-/// The line that reports lines over the rate limit, with their number as its field `dropped`.
+/// The message that reports dropped lines, with their number in the field `dropped`.
 const DROPPED_LINES: &str = "lines over the rate limit were dropped";
-/// The prefix that targets of this crate's own modules have in common.
+/// The common prefix of the targets of this crate's modules.
 const TARGET_PREFIX: &str = "pebbleturn::";
 
-/// Modules whose lines at info level and above follow from what peers send.
+/// Modules whose lines at info level and above are caused by what peers send.
 const PEER_TARGETS: [&str; 3] = ["frontends::", "net::", "admin::"];
 
-/// The format of a line.
+/// The output format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
     /// `LEVEL PART: TEXT`.
@@ -45,7 +45,7 @@
     Json,
 }
 
-/// The least level that is written.
+/// The lowest level that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogLevel {
     /// What someone must look at.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Lines of the second that began at `start`.
+/// The number of lines in the second that began at `start`.
 #[derive(Debug)]
 struct RateWindow {
     start: Instant,
@@ -78,22 +78,22 @@
     dropped: u32,
 }
 
-/// Limits lines to [`MAX_LINES_PER_SECOND`].
+/// Limits the rate of lines to [`MAX_LINES_PER_SECOND`].
 #[derive(Debug)]
 pub struct RateLimit {
     window: Mutex<RateWindow>,
 }
 
 impl RateLimit {
-    /// No line so far. The first second begins at `now`.
+    /// A limit with no lines counted yet. The first second begins at `now`.
     pub fn new(now: Instant) -> RateLimit {
         RateLimit { window: Mutex::new(RateWindow { start: now, admitted: 0, dropped: 0 }) }
     }
 
-    /// Whether one more line may be written: if so, how many lines were dropped in the second that ended
-    /// before it.
+    /// Counts one more line. `None` if it is over the limit; otherwise the number of dropped lines that are
+    /// to be reported before it: those of the last second, at the first line of a new one.
     pub fn admit(&self, now: Instant) -> Option<u32> {
-        // A thread that panicked while it logged must not end the log.
+        // A mutex poisoned by a panic in another thread must not stop the log.
         let Ok(mut window) = self.window.lock() else { return Some(0) };
         let mut dropped_before = 0;
         if now.duration_since(window.start) >= Duration::from_secs(1) {
@@ -109,14 +109,14 @@
     }
 }
 
-/// What a line is about. Each has a rate limit of its own.
+/// What a line is about. Each class has its own rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LineClass {
     /// A detail of one request or attempt, at debug level.
     Detail,
-    /// What a client, a server or a caller did: as many lines as peers want.
+    /// An action of a client, a node or a caller of the admin endpoint. Peers control how many there are.
     Peer,
-    /// What changed in this broker: its endpoint list, its watch, its phase.
+    /// A change in this broker: its endpoint list, its watch, its phase.
     State,
 }
 
@@ -133,10 +133,10 @@
     }
 }
 
-/// Drops lines over the rate limit, and reports their number.
+/// Drops lines over the rate limit and reports their number.
 ///
-/// A flood of bad requests or of details must not displace the lines that explain a decision, so each class
-/// of lines is limited apart.
+/// A flood of bad requests or of debug lines must not displace the lines that explain a decision, so each
+/// class of lines has its own limit.
 struct RateLimitLayer {
     format: LogFormat,
     details: RateLimit,
@@ -147,7 +147,7 @@
 impl RateLimitLayer {
     fn report_dropped(&self, dropped: u32) {
         let mut out = io::stderr().lock();
-        // There is nowhere to report that standard error can't be written.
+        // A failed write to standard error can't be reported anywhere.
         let _ = match self.format {
             LogFormat::Text => writeln!(out, "warn log: {DROPPED_LINES} dropped={dropped}"),
             LogFormat::Json => writeln!(
@@ -159,7 +159,7 @@
 }
 
 impl<S: Subscriber> Layer<S> for RateLimitLayer {
-    /// Called before a line is formatted: a dropped one costs nothing.
+    /// Called before a line is formatted, so that a dropped one costs no formatting.
     fn event_enabled(&self, event: &Event<'_>, _: Context<'_, S>) -> bool {
         let limit = match LineClass::of(event.metadata()) {
             LineClass::Detail => &self.details,
@@ -174,7 +174,8 @@
     }
 }
 
-/// `LEVEL PART: TEXT`, with fields behind the text. One line, whatever a peer sent.
+/// `LEVEL PART: TEXT`, with fields after the text. Control characters are replaced by spaces, so that data
+/// from a peer can't start a new line.
 struct TextFormat;
 
 impl<S, N> FormatEvent<S, N> for TextFormat
@@ -197,13 +198,13 @@
     }
 }
 
-/// The value of an environment variable, if it is one of those known.
+/// The value of an environment variable, if it is set to a known one.
 fn from_environment<T: clap::ValueEnum>(name: &str) -> Option<T> {
     std::env::var(name).ok().and_then(|value| T::from_str(&value, true).ok())
 }
 
-/// A subscriber that writes the lines of at least this level to `writer`. The number of lines over the rate
-/// limit goes to standard error.
+/// A subscriber that writes lines of at least this level to `writer`. The number of dropped lines goes to
+/// standard error.
 pub fn subscriber<W>(level: LogLevel, format: LogFormat, writer: W) -> impl Subscriber + Send + Sync
 where
     W: for<'w> MakeWriter<'w> + Send + Sync + 'static,
@@ -223,11 +224,12 @@
     tracing_subscriber::registry().with(LevelFilter::from(level)).with(limit).with(lines)
 }
 
-/// Writes all log lines to standard error from now on. Without an argument, `PEBBLETURN_LOG` (error, warn,
-/// info, debug) and `PEBBLETURN_LOG_FORMAT` (text, json) decide.
+/// Installs a global subscriber that writes to standard error. Where an argument is `None`, `PEBBLETURN_LOG`
+/// (error, warn, info, debug) or `PEBBLETURN_LOG_FORMAT` (text, json) applies.
 pub fn start(level: Option<LogLevel>, format: Option<LogFormat>) {
     let level = level.or_else(|| from_environment(LEVEL_VARIABLE)).unwrap_or_default();
     let format = format.or_else(|| from_environment(FORMAT_VARIABLE)).unwrap_or_default();
-    // A second start, by a program that embeds the library, changes nothing.
+    // Has no effect if a subscriber is already installed: by an earlier call, or by a program that embeds the
+    // library.
     let _ = subscriber(level, format, io::stderr).try_init();
 }
