--- a/src/bin/pebbleturn-benchlink/adapter.rs
+++ b/src/bin/pebbleturn-benchlink/adapter.rs
@@ -1,4 +1,4 @@
-//! Batches of messages: each instance of a batch gets one round with its events.
+//! Handles batches of messages: each instance that takes part in a batch runs one round with its events.
 
 use crate::error::{LineError, RunError};
 use crate::translation;
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
 
-/// One broker of the platform.
+/// One simulated broker of the platform.
 struct Instance {
     balancer: Balancer,
     names: Names,
@@ -23,20 +23,20 @@
     number: u64,
 }
 
-/// The instances, and what was read since the last reply.
+/// The instances, and the state of the current batch.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<String, Instance>,
-    lists: HashMap<u32, Vec<ReplicaRow>>,
+    rows_by_bank: HashMap<u32, Vec<ReplicaRow>>,
     batch: Option<Batch>,
     reply: Vec<u8>,
 }
 
 impl Adapter {
-    /// Answers the batches of the input until it ends.
+    /// Processes the batches of the input until it ends, and writes the reply to each.
     ///
     /// # Errors
-    /// The first line that can't be used; nothing is written of its batch.
+    /// The error of the first invalid line; nothing of the reply to its batch is written.
     pub fn run(&mut self, input: impl BufRead, output: &mut impl Write) -> Result<(), RunError> {
         for (index, line) in input.lines().enumerate() {
             let handled = line.map_err(LineError::from).and_then(|text| self.handle_line(&text, output));
@@ -70,7 +70,7 @@
 
     fn handle_message(&mut self, now: Nanos, message: InboundMessage) -> Result<(), LineError> {
         match message {
-            // The batch's own messages are handled with the line.
+            // Handled in `handle_line`.
             InboundMessage::Clock { .. } | InboundMessage::EndOfBatch {} => {}
             InboundMessage::PowerOn { root_id, init_seed, params } => {
                 self.start_instance(root_id, init_seed, &params, now)?;
@@ -79,7 +79,7 @@
                 let killed = self.instances.remove(&root_id);
                 killed.ok_or(LineError::UnknownInstance(root_id))?;
             }
-            InboundMessage::Rows { bank, entries } => _ = self.lists.insert(bank, entries),
+            InboundMessage::Rows { bank, entries } => _ = self.rows_by_bank.insert(bank, entries),
             InboundMessage::Directory { root_id, form, bank } => self.on_list(&root_id, form, bank)?,
             InboundMessage::Order(order) => {
                 let instance = self.instance(&order.root_id)?;
@@ -99,7 +99,7 @@
                 self.instance(&root_id)?.events.push(event);
             }
             InboundMessage::Wakeup { root_id } => self.instance(&root_id)?.events.push(Event::TimerFired),
-            // Parts of a query are not streamed, and no messages are sent between instances.
+            // Ignored: parts of a query are not streamed, and no messages are sent between instances.
             InboundMessage::UnderWay { root_id } | InboundMessage::Inbox { root_id } => {
                 self.instance(&root_id)?;
             }
@@ -130,13 +130,13 @@
             return Ok(());
         }
         let bank = bank.ok_or(LineError::ListWithoutBank)?;
-        let rows = self.lists.get(&bank).ok_or(LineError::UnknownBank(bank))?;
+        let rows = self.rows_by_bank.get(&bank).ok_or(LineError::UnknownBank(bank))?;
         let entries = translation::endpoint_entries(rows, &instance.names);
         instance.events.push(Event::EndpointList { full: kind != ListKind::Changes, entries });
         Ok(())
     }
 
-    /// The instance, which takes part in the batch from now on.
+    /// The instance, marked as taking part in the batch.
     fn instance(&mut self, root_id: &str) -> Result<&mut Instance, LineError> {
         let unknown = || LineError::UnknownInstance(root_id.to_string());
         let instance = self.instances.get_mut(root_id).ok_or_else(unknown)?;
--- a/src/bin/pebbleturn-benchlink/main.rs
+++ b/src/bin/pebbleturn-benchlink/main.rs
@@ -1,6 +1,7 @@
-//! The adapter of the benchmark platform: messages on standard input and output, a `Balancer` for each one.
+//! The adapter of the benchmark platform: it reads messages from standard input, runs one `Balancer` per
+//! instance, and writes their actions to standard output.
 //!
-//! It decides nothing. A line that can't be used ends the process with that line's number on standard error.
+//! It makes no decisions. An invalid line ends the process, with the line's number on standard error.
 #![forbid(unsafe_code)]
 #![deny(missing_docs, rust_2018_idioms)]
 #![deny(clippy::too_many_lines, clippy::type_complexity, clippy::cognitive_complexity)]
--- a/src/bin/pebbleturn-benchlink/translation.rs
+++ b/src/bin/pebbleturn-benchlink/translation.rs
@@ -1,4 +1,5 @@
-//! The wire's messages as the library's events, and its actions as messages. No decision here.
+//! Translates the platform's messages to the library's events, and its actions to messages. It makes no
+//! decisions.
 
 use crate::error::LineError;
 use crate::wire::{
@@ -7,7 +8,7 @@
 use pebbleturn::config::Names;
 use pebbleturn::{Action, Event, Nanos, Outcome, ReplicaEntry, ReplicaId, ReplicaState, RequestId};
 
-/// The entries of an endpoint list; a zone that the settings do not have is `u32::MAX`.
+/// The entries of an endpoint list; a zone that is not in the settings becomes `u32::MAX`.
 pub fn endpoint_entries(rows: &[ReplicaRow], names: &Names) -> Vec<ReplicaEntry> {
     rows.iter()
         .map(|r| ReplicaEntry {
@@ -25,10 +26,10 @@
         .collect()
 }
 
-/// The event of a query or a part.
+/// The event for a query or a part.
 ///
 /// # Errors
-/// An id in another form, an unknown class, or a shard number above `u32`.
+/// A malformed id, an unknown class, or a shard number above `u32`.
 pub fn order_event(o: &OrderMessage, names: &Names) -> Result<Event, LineError> {
     let id = parse_id(&o.xid)?;
     if o.segment_no >= 0 {
@@ -50,10 +51,10 @@
     })
 }
 
-/// The event of the end of an attempt.
+/// The event for the end of an attempt.
 ///
 /// # Errors
-/// An id in another form.
+/// A malformed id.
 pub fn attempt_ended(r: &ResponseMessage) -> Result<Event, LineError> {
     Ok(Event::AttemptEnded {
         part: parse_id(&r.xid)?,
@@ -74,7 +75,7 @@
     })
 }
 
-/// The event of a health check's result.
+/// The event for the result of a health check.
 pub fn health_checked(leaf: u32, how: &str, latency: Nanos, report: &Option<LoadReport>) -> Event {
     let (replica, utilization) = (ReplicaId(leaf), utilization(report));
     Event::HealthChecked { replica, ok: how == "ok", latency, utilization }
@@ -84,14 +85,14 @@
     report.as_ref().and_then(|r| r.get("busy").copied().flatten())
 }
 
-/// Reads the 36 characters of an id.
+/// Parses an id of 36 characters.
 ///
 /// # Errors
-/// Any form that `format_id` does not write back unaltered.
+/// Any text that `format_id` would not reproduce unaltered.
 pub fn parse_id(text: &str) -> Result<RequestId, LineError> {
     let digits: String = text.chars().filter(|c| *c != '-').collect();
     let id = u128::from_str_radix(&digits, 16).ok().map(RequestId);
-    id.filter(|id| format_id(*id) == text).ok_or_else(|| LineError::BadId(text.to_string()))
+    id.filter(|id| format_id(*id) == text).ok_or_else(|| LineError::MalformedId(text.to_string()))
 }
 
 fn format_id(id: RequestId) -> String {
@@ -99,7 +100,7 @@
     format!("{}-{}-{}-{}-{}", &h[..8], &h[8..12], &h[12..16], &h[16..20], &h[20..])
 }
 
-/// The message that tells the platform of an action.
+/// The message for an action.
 pub fn outbound_message<'a>(root_id: &'a str, action: &Action) -> OutboundMessage<'a> {
     match *action {
         Action::Send { part, replica, timeout } => {
--- a/src/bin/pebbleturn-benchlink/wire.rs
+++ b/src/bin/pebbleturn-benchlink/wire.rs
@@ -1,10 +1,10 @@
-//! The messages of the wire. Names of fields and variants are those of the benchmark platform.
+//! The wire messages of the benchmark platform. Fields and serialized names are as the platform defines them.
 
 use pebbleturn::config::PlatformSettings;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A message of the platform.
+/// A message from the platform.
 #[derive(Deserialize)]
 #[serde(tag = "verb")]
 pub enum InboundMessage {
@@ -36,7 +36,7 @@
     Inbox { root_id: String },
 }
 
-/// What an endpoint list holds.
+/// The kind of an endpoint list.
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 pub enum ListKind {
     #[serde(rename = "D")]
@@ -49,10 +49,10 @@
     Failed,
 }
 
-/// A load report: figures by name. `busy` is the utilization of the processors.
+/// A load report: metrics by name. `busy` is the CPU utilization.
 pub type LoadReport = HashMap<String, Option<f64>>;
 
-/// One replica of an endpoint list.
+/// A replica in an endpoint list.
 #[derive(Deserialize)]
 pub struct ReplicaRow {
     pub leaf: u32,
@@ -63,7 +63,7 @@
     pub online_since_ns: Option<u64>,
 }
 
-/// State of a listed replica.
+/// The state of a replica in an endpoint list.
 #[derive(Deserialize, Clone, Copy)]
 pub enum Lifecycle {
     #[serde(rename = "IN")]
@@ -74,7 +74,7 @@
     Out,
 }
 
-/// A query, or with `segment_no` from 0 on one of its parts.
+/// A query, or one of its parts if `segment_no` is not negative.
 #[derive(Deserialize)]
 pub struct OrderMessage {
     pub root_id: String,
@@ -115,7 +115,7 @@
     Moot,
 }
 
-/// A reply of the adapter.
+/// A message from the adapter.
 #[derive(Serialize)]
 #[serde(tag = "verb")]
 pub enum OutboundMessage<'a> {
