--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,10 +1,10 @@
-//! The adapter end to end: it is started as a process and gets messages on its standard input.
+//! The adapter end to end: each test starts it as a process and writes messages to its standard input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ID: &str = "5d3a91c4-a349-4b10-a46b-e214e9c15ea9";
-const PART: &str = "0e6f2b19-abcc-43bb-a768-bae9a13eb972";
+const QUERY_ID: &str = "5d3a91c4-a349-4b10-a46b-e214e9c15ea9";
+const PART_ID: &str = "0e6f2b19-abcc-43bb-a768-bae9a13eb972";
 
 fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pebbleturn-benchlink"))
@@ -15,7 +15,7 @@
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("its standard input");
     for l in lines {
-        // An adapter that has given up may have closed its input.
+        // The write fails if the adapter has already exited because of an invalid line.
         let _ = writeln!(stdin, "{l}");
     }
     drop(stdin);
@@ -70,7 +70,7 @@
 }
 
 fn start() -> Vec<String> {
-    let on = vec![
+    let setup = vec![
         clock(0, 1),
         power_on("root/0"),
         rows(),
@@ -78,7 +78,7 @@
         end_of_batch(),
         clock(5_000_000, 2),
     ];
-    [on, vec![order("root/0", ID, -1), order("root/0", PART, 1), end_of_batch()]].concat()
+    [setup, vec![order("root/0", QUERY_ID, -1), order("root/0", PART_ID, 1), end_of_batch()]].concat()
 }
 
 #[test]
@@ -86,17 +86,17 @@
     let mut lines = start();
     let reply = lines_of(&run(&lines).stdout);
     let sent = reply.iter().find(|l| l.contains("PASS_ON")).expect("the part is sent").clone();
-    assert!(sent.contains(PART), "{sent}");
+    assert!(sent.contains(PART_ID), "{sent}");
     let leaf = if sent.contains(r#""leaf":40"#) { 40 } else { 41 };
     lines.push(clock(95_000_000, 3));
     lines.push(format!(
-        r#"{{"verb":"RESPONSE","root_id":"root/0","xid":"{PART}","leaf":{leaf},"rtt_ns":90000000,"how":"ok","no_more":true,"attempt":0,"pressure":{{"busy":0.2,"odd":null}}}}"#
+        r#"{{"verb":"RESPONSE","root_id":"root/0","xid":"{PART_ID}","leaf":{leaf},"rtt_ns":90000000,"how":"ok","no_more":true,"attempt":0,"pressure":{{"busy":0.2,"odd":null}}}}"#
     ));
     lines.push(end_of_batch());
     let out = run(&lines);
     assert!(out.status.success(), "{:?}", lines_of(&out.stderr));
     let reply = lines_of(&out.stdout);
-    let answer = format!(r#"{{"verb":"HAND_IN","root_id":"root/0","xid":"{ID}","full":true}}"#);
+    let answer = format!(r#"{{"verb":"HAND_IN","root_id":"root/0","xid":"{QUERY_ID}","full":true}}"#);
     assert!(reply.contains(&answer), "{reply:#?}");
     for n in 1..=3 {
         assert_eq!(reply.iter().filter(|l| **l == format!(r#"{{"verb":"NEXT","batch":{n}}}"#)).count(), 1);
@@ -132,29 +132,29 @@
 
 #[test]
 fn bad_input_is_reported_by_line_number_without_a_partial_reply() {
-    let bad: [(&str, Vec<String>); 7] = [
+    let cases: [(&str, Vec<String>); 7] = [
         ("malformed", vec![clock(1, 9), "{oops".into()]),
         ("unknown verb", vec![clock(1, 9), r#"{"verb":"DANCE"}"#.into()]),
         ("missing field", vec![clock(1, 9), r#"{"verb":"WAKEUP","token":"x"}"#.into()]),
-        ("out of frame", vec![end_of_batch()]),
+        ("outside a batch", vec![end_of_batch()]),
         ("clock in a batch", vec![clock(1, 9), clock(2, 10)]),
         ("unknown instance", vec![clock(1, 9), r#"{"verb":"WAKEUP","root_id":"root/8","token":"x"}"#.into()]),
-        ("unknown class", vec![clock(1, 9), order("root/0", ID, -1).replace("lookup", "other")]),
+        ("unknown class", vec![clock(1, 9), order("root/0", QUERY_ID, -1).replace("lookup", "other")]),
     ];
-    for (what, tail) in bad {
+    for (case, tail) in cases {
         let mut lines = start();
         let complete_batches = lines.iter().filter(|l| **l == end_of_batch()).count();
         lines.extend(tail);
-        let at = lines.len();
+        let number = lines.len();
         lines.push(end_of_batch());
         let out = run(&lines);
-        assert!(!out.status.success(), "{what}");
+        assert!(!out.status.success(), "{case}");
         let errors = lines_of(&out.stderr);
-        assert_eq!(errors.len(), 1, "{what}: {errors:?}");
-        assert!(errors[0].contains(&format!("line {at}:")), "{what}: {errors:?}");
+        assert_eq!(errors.len(), 1, "{case}: {errors:?}");
+        assert!(errors[0].contains(&format!("line {number}:")), "{case}: {errors:?}");
         let reply = lines_of(&out.stdout);
-        assert_eq!(reply.iter().filter(|l| l.contains("NEXT")).count(), complete_batches, "{what}");
-        assert!(reply.last().expect("replies").contains("NEXT"), "{what}");
+        assert_eq!(reply.iter().filter(|l| l.contains("NEXT")).count(), complete_batches, "{case}");
+        assert!(reply.last().expect("replies").contains("NEXT"), "{case}");
     }
 }
 
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -16,7 +16,7 @@
     assert_eq!(limit.admit(start + Duration::from_secs(2)), Some(0));
 }
 
-/// Collects what is written.
+/// A writer that collects its output in memory.
 #[derive(Clone, Default)]
 struct Output(Arc<Mutex<Vec<u8>>>);
 
@@ -30,7 +30,8 @@
     }
 }
 
-/// What is logged in `format` by an event with two fields, one of which has a line break.
+/// The output in `format` of an event with two fields, one of which contains a line break. An event below the
+/// level follows, which must not be written.
 fn logged(format: LogFormat) -> String {
     let output = Output::default();
     let writer = output.clone();
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_text_line_has_the_sentence_and_then_the_fields() {
+fn a_text_line_has_the_message_and_then_the_fields() {
     let line = "info server: node is reachable again node=7 addr=127.0.0.1:80 error log: forged\n";
     assert_eq!(logged(LogFormat::Text), line);
 }
@@ -63,7 +64,8 @@
     assert_eq!(line["addr"], "127.0.0.1:80\nerror log: forged");
 }
 
-/// A client that sends nonsense, or details at debug level, must not hide what the broker was told.
+/// A flood of lines caused by peers, or of lines at debug level, must not displace a line about a change in
+/// the broker's state: each class has its own rate limit.
 #[test]
 fn lines_that_peers_cause_do_not_displace_those_of_the_state() {
     let output = Output::default();
