--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -2,7 +2,9 @@
 //! one alone would hardly notice.
 
 use crate::restart::Scene;
-use crate::sim::{Counts, Listing, Manner, Node, NodeModel, Strain, World, WorldSettings, uniform};
+use crate::sim::{
+    Counts, Disturbances, EndpointSource, Node, NodeBehavior, NodeModel, World, WorldSettings, uniform,
+};
 use pebbleturn::membership::endpoint_list::{Endpoint, EndpointList};
 use pebbleturn::membership::{NodeState, PartitionLayout, Registry, RegistrySettings};
 use pebbleturn::{Nanos, Settings};
@@ -133,18 +135,18 @@
 }
 
 /// What happens to nodes: when, at which address, how it is met from then on, and what discovery says of it.
-type Course = Vec<(Nanos, SocketAddr, Option<Manner>, Option<Endpoint>)>;
+type Course = Vec<(Nanos, SocketAddr, Option<NodeBehavior>, Option<Endpoint>)>;
 
 /// A node that drains once its successor, which starts then, is there.
 fn replaced(n: u32, at: Nanos) -> Course {
     let (drains, gone) = (at + REPLACED.0, at + REPLACED.0 + REPLACED.1);
     let told = |state| Some(line(n, 0, state, 0));
     vec![
-        (at, addr(n, 1), Some(Manner::Serves), Some(line(n, 1, NodeState::Ready, at))),
+        (at, addr(n, 1), Some(NodeBehavior::Serving), Some(line(n, 1, NodeState::Ready, at))),
         // It turns new parts away once all have had their time to learn of it.
         (drains, addr(n, 0), None, told(NodeState::Terminating)),
-        (drains + 2 * S, addr(n, 0), Some(Manner::Drains), None),
-        (gone, addr(n, 0), Some(Manner::Refuses), told(NodeState::Gone)),
+        (drains + 2 * S, addr(n, 0), Some(NodeBehavior::Draining), None),
+        (gone, addr(n, 0), Some(NodeBehavior::RefusesConnections), told(NodeState::Gone)),
     ]
 }
 
@@ -169,8 +171,8 @@
             cores: 2,
             cold_share: settings.slow_start_share,
             cold_time: settings.slow_start_time,
-            fall_multiple: settings.overload_multiple,
-            fall_time: settings.overload_time,
+            overload_multiple: settings.overload_multiple,
+            overload_time: settings.overload_time,
             queue: 40,
         }
     }
@@ -184,13 +186,13 @@
                 Trouble::Zone if n.is_multiple_of(2) => {
                     let (lost, back) = (NOW + 4 * S, NOW + 4 * S + AWAY);
                     let (gone, new) = (line(n, 0, NodeState::Gone, 0), line(n, 1, NodeState::Ready, back));
-                    course.push((lost, addr(n, 0), Some(Manner::Silent), None));
+                    course.push((lost, addr(n, 0), Some(NodeBehavior::Unreachable), None));
                     course.push((lost + 3 * S, addr(n, 0), None, Some(gone)));
-                    course.push((back, addr(n, 1), Some(Manner::Serves), Some(new)));
+                    course.push((back, addr(n, 1), Some(NodeBehavior::Serving), Some(new)));
                 }
                 Trouble::Split if chance < 0.2 => {
-                    course.push((NOW + 4 * S, addr(n, 0), Some(Manner::Silent), None));
-                    course.push((NOW + 4 * S + SPLIT, addr(n, 0), Some(Manner::Heard), None));
+                    course.push((NOW + 4 * S, addr(n, 0), Some(NodeBehavior::Unreachable), None));
+                    course.push((NOW + 4 * S + SPLIT, addr(n, 0), Some(NodeBehavior::ReachableAgain), None));
                 }
                 // Lists can come late only where they have something to tell.
                 Trouble::Split if chance < 0.3 => course.extend(replaced(n, at)),
@@ -227,7 +229,7 @@
             nodes.insert(addr(n, 0), Node::new(n, 0, &model));
             // Nothing listens at a successor's place until it starts.
             let mut later = Node::new(n, 0, &model);
-            later.manner = Manner::Refuses;
+            later.behavior = NodeBehavior::RefusesConnections;
             nodes.insert(addr(n, 1), later);
         }
         let list = EndpointList {
@@ -248,20 +250,20 @@
                 seed: seed ^ broker << 32 | broker,
             });
             roster.add_configured(&list, NOW);
-            Listing::Roster(Box::new(roster))
+            EndpointSource::Registry(Box::new(roster))
         };
         let listings = (0..self.brokers as u64).map(listing).collect();
         // One in ten has four times the others' traffic.
         let traffic = (0..self.brokers).map(|n| if n % 10 == 0 { 4.0 } else { 1.0 }).collect();
         let split = trouble == Trouble::Split;
-        let strain = Strain {
+        let disturbances = Disturbances {
             traffic,
-            news: Fleet::news(&course),
-            late: if split { 3 * S } else { 300 * MS },
-            broken: split.then_some((NOW + 4 * S, NOW + 4 * S + SPLIT, 0.01, 0.01)),
+            discovery_updates: Fleet::news(&course),
+            max_update_delay: if split { 3 * S } else { 300 * MS },
+            answer_faults: split.then_some((NOW + 4 * S, NOW + 4 * S + SPLIT, 0.01, 0.01)),
         };
         let script =
-            course.into_iter().filter_map(|(at, addr, manner, _)| Some((at, addr, manner?))).collect();
+            course.into_iter().filter_map(|(at, addr, behavior, _)| Some((at, addr, behavior?))).collect();
         let told = WorldSettings {
             settings,
             classes: vec![
@@ -274,13 +276,13 @@
             from: NOW,
             until: NOW + self.time,
             script,
-            strain,
+            disturbances,
             seed,
         };
         let (c, _): (Counts, Nanos) = World::new(told, nodes, listings, &HashSet::new()).run();
         Played {
             trouble,
-            service: (c.served / c.asked * 1e4).round() / 1e4,
+            service: (c.served_value / c.requested_value * 1e4).round() / 1e4,
             ended: [c.answered, c.refused, c.failed],
             lost: c.lost,
             dishonest: c.dishonest,
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -1,7 +1,9 @@
 //! All brokers restart while discovery is absent: what service they give at once, by the age of the list that they
 //! have and by how they trust it.
 
-use crate::sim::{Listing, Manner, Node, NodeModel, Strain, World, WorldSettings, exponential, uniform};
+use crate::sim::{
+    Disturbances, EndpointSource, Node, NodeBehavior, NodeModel, World, WorldSettings, exponential, uniform,
+};
 use pebbleturn::membership::snapshot::{Snapshot, SnapshotNode};
 use pebbleturn::membership::staleness::ChangeRate;
 use pebbleturn::membership::{NodeRecord, NodeState, PartitionLayout, Registry, RegistrySettings};
@@ -171,8 +173,8 @@
             cores: 2,
             cold_share: COLD.0,
             cold_time: COLD.1,
-            fall_multiple: 3.0,
-            fall_time: 1500 * MS,
+            overload_multiple: 3.0,
+            overload_time: 1500 * MS,
             queue: 64,
         }
     }
@@ -200,7 +202,7 @@
             let recent = uniform(&mut rng) < self.together;
             let mut here = Node::new(n, 0, &model);
             if drains {
-                here.manner = Manner::Drains;
+                here.behavior = NodeBehavior::Draining;
             } else if changed && kind < self.restarts {
                 let before = if recent { uniform(&mut rng) * 10e9 } else { uniform(&mut rng) * age as f64 };
                 here.started = NOW - (before as Nanos).min(age);
@@ -209,11 +211,11 @@
             } else if changed {
                 // Moved, its old address refusing or another program's; gone with its machine; or draining.
                 let way = (kind - self.restarts) / (1.0 - self.restarts);
-                here.manner = match way {
-                    w if w < 0.25 => Manner::Refuses,
-                    w if w < 0.5 => Manner::Foreign,
-                    w if w < 0.8 => Manner::Silent,
-                    _ => Manner::Drains,
+                here.behavior = match way {
+                    w if w < 0.25 => NodeBehavior::RefusesConnections,
+                    w if w < 0.5 => NodeBehavior::OtherProgram,
+                    w if w < 0.8 => NodeBehavior::Unreachable,
+                    _ => NodeBehavior::Draining,
                 };
                 if way < 0.5 {
                     let moved = addr(n, 1);
@@ -234,12 +236,12 @@
         let known = drawn.learnt.iter().filter(|f| f.state != NodeState::Ready).filter_map(|f| f.addr);
         let drains: HashSet<SocketAddr> = known.collect();
         let listing = |broker: u64| match arm {
-            Arm::None => Listing::Told(vec![]),
-            Arm::Full => Listing::Told(told(&drawn.old)),
-            Arm::Right => Listing::Told(told(&drawn.right)),
+            Arm::None => EndpointSource::Fixed(vec![]),
+            Arm::Full => EndpointSource::Fixed(told(&drawn.old)),
+            Arm::Right => EndpointSource::Fixed(told(&drawn.right)),
             Arm::Possible => {
                 let holds = |f: &&NodeRecord| drawn.old.iter().any(|o| o.addr == f.addr);
-                Listing::Told(told(&drawn.right.iter().filter(holds).cloned().collect::<Vec<_>>()))
+                EndpointSource::Fixed(told(&drawn.right.iter().filter(holds).cloned().collect::<Vec<_>>()))
             }
             Arm::Weighed => {
                 let mut roster = Registry::new(RegistrySettings {
@@ -253,7 +255,7 @@
                     seed: seed ^ broker << 32 | broker,
                 });
                 roster.restore(&[kept(&drawn.learnt, NOW - age)], NOW);
-                Listing::Roster(Box::new(roster))
+                EndpointSource::Registry(Box::new(roster))
             }
         };
         let told = WorldSettings {
@@ -264,7 +266,7 @@
             from: NOW,
             until: NOW + 10 * S,
             script: vec![],
-            strain: Strain::default(),
+            disturbances: Disturbances::default(),
             seed,
         };
         let listings = (0..self.brokers as u64).map(listing).collect();
@@ -278,8 +280,8 @@
             Line { age_s, arm, service: 0.0, p99_ms: 0.0, late_drain_sends: 0, cold_falls: 0, lost: 0 };
         for world in 0..self.worlds {
             let (counts, late) = self.play(age_s * S, arm, seed.wrapping_mul(1_000_003).wrapping_add(world));
-            asked += counts.asked;
-            served += counts.served;
+            asked += counts.requested_value;
+            served += counts.served_value;
             p99 += late as f64 / 1e6 / self.worlds as f64;
             line.late_drain_sends += counts.late_drain_sends;
             line.cold_falls += counts.cold_falls;
--- a/lab/src/routing.rs
+++ b/lab/src/routing.rs
@@ -1,6 +1,6 @@
 //! Routing measured in simulated time: shares against weights, and a set that fails over to its spare and back.
 
-use crate::sim::{Listing, Manner, Node, NodeModel, Strain, World, WorldSettings};
+use crate::sim::{Disturbances, EndpointSource, Node, NodeBehavior, NodeModel, World, WorldSettings};
 use pebbleturn::membership::{NodeRecord, NodeState, PartitionLayout, Registry, RegistrySettings};
 use pebbleturn::routing::{AdminState, Routing, RoutingSettings, Rule, Spare};
 use pebbleturn::{Class, Discovery, Idempotency, Nanos, Settings};
@@ -67,8 +67,8 @@
     cores: 16,
     cold_share: 0.2,
     cold_time: 10 * S,
-    fall_multiple: 3.0,
-    fall_time: 1500 * MS,
+    overload_multiple: 3.0,
+    overload_time: 1500 * MS,
     queue: 256,
 };
 
@@ -77,7 +77,7 @@
     rules: &[Rule],
     rate: f64,
     time: Nanos,
-    script: Vec<(Nanos, SocketAddr, Manner)>,
+    script: Vec<(Nanos, SocketAddr, NodeBehavior)>,
     seed: u64,
 ) -> (crate::sim::Counts, Vec<(Nanos, SocketAddr)>) {
     let layout = PartitionLayout { cells: 1, span: 1 };
@@ -113,11 +113,12 @@
         from: NOW,
         until: NOW + time,
         script,
-        strain: Strain::default(),
+        disturbances: Disturbances::default(),
         seed,
     };
-    let listing = Listing::Routed(Box::new(roster), Box::new(routing));
-    let (counts, _, sent) = World::new(told, nodes, vec![listing], &HashSet::new()).recorded().run_and_tell();
+    let listing = EndpointSource::Routed(Box::new(roster), Box::new(routing));
+    let (counts, _, sent) =
+        World::new(told, nodes, vec![listing], &HashSet::new()).recording_sent_parts().run_with_sent_parts();
     (counts, sent)
 }
 
@@ -197,8 +198,8 @@
     let (down, up) = (NOW + 10 * S, NOW + 20 * S);
     let mut script = Vec::new();
     for n in [0, 1] {
-        script.push((down, addr(n), Manner::Refuses));
-        script.push((up, addr(n), Manner::Serves));
+        script.push((down, addr(n), NodeBehavior::RefusesConnections));
+        script.push((up, addr(n), NodeBehavior::Serving));
     }
     let (counts, sent) = play(&rules, 100.0, 60 * S, script, seed);
     let at = |n: usize| sent.iter().filter(move |(_, a)| *a == addr(n)).map(|(t, _)| *t);
--- a/lab/src/sim/mod.rs
+++ b/lab/src/sim/mod.rs
@@ -7,8 +7,8 @@
 mod node;
 mod world;
 
-pub use node::{Manner, Node, NodeModel};
-pub use world::{Broker, Counts, Listing, Strain, World, WorldSettings};
+pub use node::{Node, NodeBehavior, NodeModel};
+pub use world::{Broker, Counts, Disturbances, EndpointSource, World, WorldSettings};
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::Rng;
--- a/lab/src/sim/node.rs
+++ b/lab/src/sim/node.rs
@@ -13,47 +13,47 @@
     /// See `cold_share`.
     pub cold_time: Nanos,
     /// A cold node sent more than this multiple of what it can do, over this time, falls over.
-    pub fall_multiple: f64,
-    /// See `fall_multiple`.
-    pub fall_time: Nanos,
+    pub overload_multiple: f64,
+    /// See `overload_multiple`.
+    pub overload_time: Nanos,
     /// Most parts that wait.
     pub queue: usize,
 }
 
 /// What is to be met at a node's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum NodeBehavior {
     /// The node.
-    Serves,
+    Serving,
     /// It finishes what it has and turns away what is new.
-    Drains,
+    Draining,
     /// Nothing listens.
-    Refuses,
+    RefusesConnections,
     /// The machine is gone: no answer of any kind.
-    Silent,
+    Unreachable,
     /// The machine is heard again; its process ran on.
-    Heard,
+    ReachableAgain,
     /// Another program, which speaks something else.
-    Foreign,
+    OtherProgram,
 }
 
 /// A node.
 #[derive(Clone, Debug)]
 pub struct Node {
     /// What is met there.
-    pub manner: Manner,
+    pub behavior: NodeBehavior,
     /// Its cell.
     pub cell: u32,
     /// When its process started.
     pub started: Nanos,
     /// It fell over while cold.
-    pub fell: bool,
+    pub crashed: bool,
     /// Most work that came within the time to fall while it was cold, in multiples of what it could do then.
     pub most_pushed: f64,
     /// When each core is free.
     free_at: Vec<Nanos>,
     /// Work that was sent of late: when, and how much.
-    sent: VecDeque<(Nanos, Nanos)>,
+    recent_work: VecDeque<(Nanos, Nanos)>,
 }
 
 impl Node {
@@ -61,52 +61,52 @@
     pub fn new(cell: u32, started: Nanos, model: &NodeModel) -> Node {
         let free_at = vec![0; model.cores];
         Node {
-            manner: Manner::Serves,
+            behavior: NodeBehavior::Serving,
             cell,
             started,
-            fell: false,
+            crashed: false,
             most_pushed: 0.0,
             free_at,
-            sent: VecDeque::new(),
+            recent_work: VecDeque::new(),
         }
     }
 
     /// Share of its capacity that it has now.
-    pub fn share(&self, now: Nanos, model: &NodeModel) -> f64 {
+    pub fn capacity_share(&self, now: Nanos, model: &NodeModel) -> f64 {
         let age = now.saturating_sub(self.started) as f64 / model.cold_time.max(1) as f64;
         (model.cold_share + (1.0 - model.cold_share) * age).min(1.0)
     }
 
     /// A part of so much work comes: when and how it ends, none where nothing ever comes back.
-    pub fn take(&mut self, now: Nanos, work: Nanos, model: &NodeModel) -> Option<(Nanos, Outcome)> {
-        match self.manner {
-            _ if self.fell => return Some((now, Outcome::ConnectFailed)),
-            Manner::Serves | Manner::Heard => {}
-            Manner::Drains => return Some((now, Outcome::Rejected)),
-            Manner::Refuses => return Some((now, Outcome::ConnectFailed)),
-            Manner::Silent => return None,
-            Manner::Foreign => return Some((now, Outcome::InvalidResponse)),
+    pub fn handle_part(&mut self, now: Nanos, work: Nanos, model: &NodeModel) -> Option<(Nanos, Outcome)> {
+        match self.behavior {
+            _ if self.crashed => return Some((now, Outcome::ConnectFailed)),
+            NodeBehavior::Serving | NodeBehavior::ReachableAgain => {}
+            NodeBehavior::Draining => return Some((now, Outcome::Rejected)),
+            NodeBehavior::RefusesConnections => return Some((now, Outcome::ConnectFailed)),
+            NodeBehavior::Unreachable => return None,
+            NodeBehavior::OtherProgram => return Some((now, Outcome::InvalidResponse)),
         }
-        let share = self.share(now, model);
-        self.sent.push_back((now, work));
-        while self.sent.front().is_some_and(|(t, _)| t + model.fall_time <= now) {
-            self.sent.pop_front();
+        let capacity_share = self.capacity_share(now, model);
+        self.recent_work.push_back((now, work));
+        while self.recent_work.front().is_some_and(|(t, _)| t + model.overload_time <= now) {
+            self.recent_work.pop_front();
         }
-        let pushed: Nanos = self.sent.iter().map(|(_, w)| w).sum();
-        let able = share * model.cores as f64 * model.fall_time as f64;
-        if share < 1.0 {
-            self.most_pushed = self.most_pushed.max(pushed as f64 / able);
+        let received: Nanos = self.recent_work.iter().map(|(_, w)| w).sum();
+        let capacity = capacity_share * model.cores as f64 * model.overload_time as f64;
+        if capacity_share < 1.0 {
+            self.most_pushed = self.most_pushed.max(received as f64 / capacity);
         }
-        if share < 1.0 && pushed as f64 > model.fall_multiple * able {
-            self.fell = true;
+        if capacity_share < 1.0 && received as f64 > model.overload_multiple * capacity {
+            self.crashed = true;
             return Some((now, Outcome::ConnectionReset));
         }
-        let waiting: Nanos = self.free_at.iter().map(|t| t.saturating_sub(now)).sum();
-        if waiting as f64 > model.queue as f64 * work as f64 / share {
+        let queued_work: Nanos = self.free_at.iter().map(|t| t.saturating_sub(now)).sum();
+        if queued_work as f64 > model.queue as f64 * work as f64 / capacity_share {
             return Some((now, Outcome::Rejected));
         }
         let core = self.free_at.iter_mut().min()?;
-        *core = (*core).max(now) + (work as f64 / share) as Nanos;
+        *core = (*core).max(now) + (work as f64 / capacity_share) as Nanos;
         Some((*core, Outcome::Ok))
     }
 }
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -1,6 +1,6 @@
 //! Brokers, nodes and clients in simulated time.
 
-use super::node::{Manner, Node, NodeModel};
+use super::node::{Node, NodeBehavior, NodeModel};
 use super::{exponential, uniform};
 use pebbleturn::engine::{
     AttemptId, AttemptOutcome, EngineAction, PartRequest, QueryEngine, QueryId, QueryOutcome, QueryRequest,
@@ -17,9 +17,9 @@
 use std::rc::Rc;
 
 /// Time between two parties, one way.
-const HOP: Nanos = 1_000_000;
+const NETWORK_LATENCY: Nanos = 1_000_000;
 /// A connection that is not up by then never comes up.
-const DIAL: Nanos = 250_000_000;
+const CONNECT_TIMEOUT: Nanos = 250_000_000;
 /// Time after which nothing new may be sent to a node whose drain was learnt.
 const DRAIN_GRACE: Nanos = 2_000_000_000;
 
@@ -39,33 +39,33 @@
     /// See `from`.
     pub until: Nanos,
     /// What becomes of nodes, and when.
-    pub script: Vec<(Nanos, SocketAddr, Manner)>,
+    pub script: Vec<(Nanos, SocketAddr, NodeBehavior)>,
     /// What else a fleet meets.
-    pub strain: Strain,
+    pub disturbances: Disturbances,
     /// For all that is drawn.
     pub seed: u64,
 }
 
 /// What a fleet meets beside what becomes of its nodes; nothing by default.
 #[derive(Clone, Debug, Default)]
-pub struct Strain {
+pub struct Disturbances {
     /// Each broker's share of the queries beside the others'; even where there are none.
     pub traffic: Vec<f64>,
     /// What discovery tells and when, and by how much it comes later at a broker, at most.
-    pub news: Vec<(Nanos, EndpointList)>,
-    /// See `news`.
-    pub late: Nanos,
+    pub discovery_updates: Vec<(Nanos, EndpointList)>,
+    /// See `discovery_updates`.
+    pub max_update_delay: Nanos,
     /// From when until when answers get lost or their connections are reset, and the share of each.
-    pub broken: Option<(Nanos, Nanos, f64, f64)>,
+    pub answer_faults: Option<(Nanos, Nanos, f64, f64)>,
 }
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
     /// Worth of all queries, and of those answered in their aim.
-    pub asked: f64,
-    /// See `asked`.
-    pub served: f64,
+    pub requested_value: f64,
+    /// See `requested_value`.
+    pub served_value: f64,
     /// Queries answered, refused and failed.
     pub answered: u64,
     /// See `answered`.
@@ -91,19 +91,19 @@
 }
 
 /// How a broker comes by its list.
-pub enum Listing {
+pub enum EndpointSource {
     /// Lines that it believes as they are.
-    Told(Vec<(ReplicaEntry, SocketAddr)>),
+    Fixed(Vec<(ReplicaEntry, SocketAddr)>),
     /// A roster that has heard its sources.
-    Roster(Box<Registry>),
+    Registry(Box<Registry>),
     /// The same with an operator's rules behind it.
     Routed(Box<Registry>, Box<Routing>),
 }
 
 /// One broker: an exchange, with or without a roster before it.
 pub struct Broker {
-    exchange: QueryEngine<Asking, ()>,
-    roster: Option<Box<Registry>>,
+    engine: QueryEngine<QueryPayload, ()>,
+    registry: Option<Box<Registry>>,
     routing: Option<Box<Routing>>,
     addrs: HashMap<ReplicaId, SocketAddr>,
     /// Nodes that it knows to drain, and since when.
@@ -112,33 +112,33 @@
 }
 
 /// What a query carries: its number, and the work of a part.
-struct Asking {
+struct QueryPayload {
     number: u64,
     work: Nanos,
 }
 
-struct Asked {
+struct SubmittedQuery {
     class: usize,
     at: Nanos,
-    finals: u32,
+    final_outcomes: u32,
     late: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
+enum Event {
     /// The entry of the script with this number.
-    Scripted(usize),
+    NodeChanges(usize),
     Query,
-    Ends {
+    AttemptEnds {
         broker: usize,
         attempt: AttemptId,
-        how: u8,
+        outcome_index: u8,
     },
     Due {
         broker: usize,
     },
     /// The entry of the news with this number comes to a broker.
-    News {
+    DiscoveryUpdate {
         broker: usize,
         number: usize,
     },
@@ -154,13 +154,13 @@
 
 /// A fleet and those who ask it.
 pub struct World {
-    told: WorldSettings,
+    config: WorldSettings,
     rng: Pcg64Mcg,
     nodes: HashMap<SocketAddr, Node>,
     brokers: Vec<Broker>,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Happens)>>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     serial: u64,
-    queries: HashMap<(usize, QueryId), Asked>,
+    queries: HashMap<(usize, QueryId), SubmittedQuery>,
     counts: Counts,
     latencies: Vec<Nanos>,
     attempts: HashMap<(u64, u32), u32>,
@@ -171,32 +171,32 @@
     /// A world of these nodes, by address, whose brokers start with these lists. `drains`: the addresses of nodes
     /// that every broker knew to drain before its restart.
     pub fn new(
-        told: WorldSettings,
+        config: WorldSettings,
         nodes: HashMap<SocketAddr, Node>,
-        listings: Vec<Listing>,
+        sources: Vec<EndpointSource>,
         drains: &HashSet<SocketAddr>,
     ) -> World {
-        let (now, seed) = (told.from, told.seed);
+        let (now, seed) = (config.from, config.seed);
         let mut brokers = Vec::new();
-        for (n, listing) in listings.into_iter().enumerate() {
-            let mut exchange =
-                QueryEngine::new(told.settings.clone(), seed ^ (n as u64 + 1), now).expect("sound settings");
+        for (n, source) in sources.into_iter().enumerate() {
+            let mut engine = QueryEngine::new(config.settings.clone(), seed ^ (n as u64 + 1), now)
+                .expect("valid settings");
             let mut addrs = HashMap::new();
-            let (roster, routing) = match listing {
-                Listing::Told(lines) => {
+            let (registry, routing) = match source {
+                EndpointSource::Fixed(lines) => {
                     addrs.extend(lines.iter().map(|(l, a)| (l.replica, *a)));
-                    exchange.update_endpoints(true, lines.into_iter().map(|(l, _)| l).collect());
+                    engine.update_endpoints(true, lines.into_iter().map(|(l, _)| l).collect());
                     (None, None)
                 }
-                Listing::Roster(roster) => (Some(roster), None),
-                Listing::Routed(roster, routing) => (Some(roster), Some(routing)),
+                EndpointSource::Registry(registry) => (Some(registry), None),
+                EndpointSource::Routed(registry, routing) => (Some(registry), Some(routing)),
             };
             let drains = drains.iter().map(|a| (*a, 0)).collect();
-            brokers.push(Broker { exchange, roster, routing, addrs, drains, scheduled: None });
+            brokers.push(Broker { engine, registry, routing, addrs, drains, scheduled: None });
         }
         let mut world = World {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            told,
+            config,
             nodes,
             brokers,
             queue: BinaryHeap::new(),
@@ -208,136 +208,142 @@
             sent: None,
         };
         for b in 0..world.brokers.len() {
-            world.turn(b, now);
+            world.run_broker(b, now);
             // News comes late, and never before what was told earlier.
             let mut before = 0;
-            for number in 0..world.told.strain.news.len() {
-                let late = (uniform(&mut world.rng) * world.told.strain.late as f64) as Nanos;
-                before = before.max(world.told.strain.news[number].0 + late);
-                world.at(before, Happens::News { broker: b, number });
+            for number in 0..world.config.disturbances.discovery_updates.len() {
+                let delay =
+                    (uniform(&mut world.rng) * world.config.disturbances.max_update_delay as f64) as Nanos;
+                before = before.max(world.config.disturbances.discovery_updates[number].0 + delay);
+                world.schedule(before, Event::DiscoveryUpdate { broker: b, number });
             }
         }
-        world.at(now, Happens::Query);
-        for n in 0..world.told.script.len() {
-            world.at(world.told.script[n].0, Happens::Scripted(n));
+        world.schedule(now, Event::Query);
+        for n in 0..world.config.script.len() {
+            world.schedule(world.config.script[n].0, Event::NodeChanges(n));
         }
         world
     }
 
     /// Keeps every part that is sent: when, and where to.
-    pub fn recorded(mut self) -> World {
+    pub fn recording_sent_parts(mut self) -> World {
         self.sent = Some(Vec::new());
         self
     }
 
-    fn at(&mut self, when: Nanos, what: Happens) {
+    fn schedule(&mut self, when: Nanos, event: Event) {
         self.serial += 1;
-        self.queue.push(Reverse((when, self.serial, what)));
+        self.queue.push(Reverse((when, self.serial, event)));
     }
 
     /// Runs until all is over. Gives the counts and the 99th percentile of the answers' times.
     pub fn run(self) -> (Counts, Nanos) {
-        let (counts, p99, _) = self.run_and_tell();
+        let (counts, p99, _) = self.run_with_sent_parts();
         (counts, p99)
     }
 
     /// The same, with the parts that were sent if that was asked for.
-    pub fn run_and_tell(mut self) -> (Counts, Nanos, Vec<(Nanos, SocketAddr)>) {
-        let longest = self.told.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let end = self.told.until + longest + 1_000_000_000;
-        while let Some(Reverse((now, _, what))) = self.queue.pop() {
+    pub fn run_with_sent_parts(mut self) -> (Counts, Nanos, Vec<(Nanos, SocketAddr)>) {
+        let longest_deadline = self.config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let end = self.config.until + longest_deadline + 1_000_000_000;
+        while let Some(Reverse((now, _, event))) = self.queue.pop() {
             if now > end {
                 break;
             }
-            match what {
-                Happens::Scripted(n) => {
-                    let (_, addr, manner) = self.told.script[n];
+            match event {
+                Event::NodeChanges(n) => {
+                    let (_, addr, behavior) = self.config.script[n];
                     if let Some(node) = self.nodes.get_mut(&addr) {
                         // Who serves again has just started.
-                        if manner == Manner::Serves && node.manner != Manner::Serves {
+                        if behavior == NodeBehavior::Serving && node.behavior != NodeBehavior::Serving {
                             node.started = now;
                         }
-                        node.manner = manner;
+                        node.behavior = behavior;
                     }
                 }
-                Happens::Query => self.query(now),
-                Happens::Ends { broker, attempt, how } => {
-                    let outcome = OUTCOMES[how as usize];
+                Event::Query => self.submit_query(now),
+                Event::AttemptEnds { broker, attempt, outcome_index } => {
+                    let outcome = OUTCOMES[outcome_index as usize];
                     let b = &mut self.brokers[broker];
                     let value = (outcome == Outcome::Ok).then_some(());
-                    b.exchange.attempt_ended(
+                    b.engine.attempt_ended(
                         now,
                         attempt,
                         AttemptOutcome { outcome, utilization: None, value },
                     );
-                    self.turn(broker, now);
+                    self.run_broker(broker, now);
                 }
-                Happens::News { broker, number } => {
-                    if let Some(roster) = &mut self.brokers[broker].roster {
-                        roster.on_discovery_update(&self.told.strain.news[number].1, number == 0, now);
+                Event::DiscoveryUpdate { broker, number } => {
+                    if let Some(registry) = &mut self.brokers[broker].registry {
+                        registry.on_discovery_update(
+                            &self.config.disturbances.discovery_updates[number].1,
+                            number == 0,
+                            now,
+                        );
                     }
-                    self.turn(broker, now);
+                    self.run_broker(broker, now);
                 }
-                Happens::Due { broker } => {
+                Event::Due { broker } => {
                     if self.brokers[broker].scheduled == Some(now) {
                         self.brokers[broker].scheduled = None;
-                        self.turn(broker, now);
+                        self.run_broker(broker, now);
                     }
                 }
             }
         }
-        self.counts.lost += self.queries.values().filter(|q| q.finals != 1 || q.late).count() as u64;
-        self.counts.cold_falls = self.nodes.values().filter(|n| n.fell).count() as u64;
+        self.counts.lost += self.queries.values().filter(|q| q.final_outcomes != 1 || q.late).count() as u64;
+        self.counts.cold_falls = self.nodes.values().filter(|n| n.crashed).count() as u64;
         self.counts.most_pushed = self.nodes.values().map(|n| n.most_pushed).fold(0.0, f64::max);
         self.counts.most_attempts = self.attempts.values().copied().max().unwrap_or(0);
-        let held = |b: &Broker| b.exchange.open_queries() + b.exchange.attempts_in_flight();
+        let held = |b: &Broker| b.engine.open_queries() + b.engine.attempts_in_flight();
         self.counts.held_at_end = self.brokers.iter().map(held).sum();
         self.latencies.sort_unstable();
         let p99 = self.latencies.get(self.latencies.len().saturating_sub(1) * 99 / 100).copied().unwrap_or(0);
         (self.counts, p99, self.sent.unwrap_or_default())
     }
 
-    fn query(&mut self, now: Nanos) {
-        let gap = exponential(&mut self.rng, 1e9 / self.told.rate) as Nanos;
-        if now + gap < self.told.until {
-            self.at(now + gap, Happens::Query);
+    fn submit_query(&mut self, now: Nanos) {
+        let gap = exponential(&mut self.rng, 1e9 / self.config.rate) as Nanos;
+        if now + gap < self.config.until {
+            self.schedule(now + gap, Event::Query);
         }
         let mut x = uniform(&mut self.rng);
-        let shares = self.told.classes.iter().position(|(share, ..)| {
+        let shares = self.config.classes.iter().position(|(share, ..)| {
             x -= share;
             x < 0.0
         });
         let class = shares.unwrap_or(0);
-        let (_, parts, work) = self.told.classes[class];
-        let shards = self.told.settings.shards;
+        let (_, parts, work) = self.config.classes[class];
+        let shards = self.config.settings.shards;
         let first = (uniform(&mut self.rng) * f64::from(shards)) as u32;
         let weight = 1.0 / f64::from(parts);
         let part = |n| PartRequest { shard: (first + n) % shards, weight, work: Some(work) };
-        let broker = self.broker();
-        let c = &self.told.settings.classes[class];
-        self.counts.asked += c.priority_weight;
-        let ask = QueryRequest {
+        let broker = self.draw_broker();
+        let c = &self.config.settings.classes[class];
+        self.counts.requested_value += c.priority_weight;
+        let request = QueryRequest {
             class,
             tenant: None,
             key: None,
             time_left: c.deadline,
             is_retry: false,
             parts: (0..parts).map(part).collect(),
-            payload: Rc::new(Asking { number: self.serial, work }),
+            payload: Rc::new(QueryPayload { number: self.serial, work }),
         };
-        match self.brokers[broker].exchange.submit(now, ask) {
+        match self.brokers[broker].engine.submit(now, request) {
             Ok(id) => {
-                self.queries.insert((broker, id), Asked { class, at: now, finals: 0, late: false });
+                self.queries
+                    .insert((broker, id), SubmittedQuery { class, at: now, final_outcomes: 0, late: false });
             }
             Err(_) => self.counts.refused += 1,
         }
-        self.turn(broker, now);
+        self.run_broker(broker, now);
     }
 
     /// The broker that a query comes to.
-    fn broker(&mut self) -> usize {
+    fn draw_broker(&mut self) -> usize {
         let x = uniform(&mut self.rng);
-        let traffic = &self.told.strain.traffic;
+        let traffic = &self.config.disturbances.traffic;
         let mut left = x * traffic.iter().sum::<f64>();
         let drawn = traffic.iter().position(|share| {
             left -= share;
@@ -347,17 +353,17 @@
     }
 
     /// Lets a broker do all that it has to do now.
-    fn turn(&mut self, broker: usize, now: Nanos) {
+    fn run_broker(&mut self, broker: usize, now: Nanos) {
         let b = &mut self.brokers[broker];
-        if let Some(roster) = &mut b.roster {
-            while let Some(end) = b.exchange.next_attempt_end() {
-                roster.on_attempt_end(end.replica, end.outcome, end.latency, now);
+        if let Some(registry) = &mut b.registry {
+            while let Some(end) = b.engine.next_attempt_end() {
+                registry.on_attempt_end(end.replica, end.outcome, end.latency, now);
                 if let Some(routing) = &mut b.routing {
                     routing.on_attempt_end(end.replica, end.outcome, now);
                 }
             }
-            roster.tick(now);
-            let mut changes = roster.take_changes();
+            registry.tick(now);
+            let mut changes = registry.take_changes();
             if let Some(routing) = &mut b.routing {
                 routing.tick(now);
                 if let Some(changes) = changes {
@@ -367,9 +373,9 @@
             }
             if let Some(changes) = changes {
                 let mut lines = Vec::with_capacity(changes.len());
-                for NodeChange { entry: listed, addr, .. } in changes {
+                for NodeChange { entry, addr, .. } in changes {
                     match addr {
-                        Some(addr) if listed.state == ReplicaState::Draining => {
+                        Some(addr) if entry.state == ReplicaState::Draining => {
                             b.drains.entry(addr).or_insert(now);
                         }
                         // It was only held back; a drain that was learnt before the start stays one.
@@ -379,87 +385,90 @@
                         _ => {}
                     }
                     match addr {
-                        Some(addr) if listed.state != ReplicaState::Removed => {
-                            b.addrs.insert(listed.replica, addr)
+                        Some(addr) if entry.state != ReplicaState::Removed => {
+                            b.addrs.insert(entry.replica, addr)
                         }
-                        _ => b.addrs.remove(&listed.replica),
+                        _ => b.addrs.remove(&entry.replica),
                     };
-                    lines.push(listed);
+                    lines.push(entry);
                 }
-                b.exchange.update_endpoints(false, lines);
+                b.engine.update_endpoints(false, lines);
             }
-            roster.take_warmed_up().into_iter().for_each(|replica| b.exchange.replica_warmed_up(replica));
+            registry.take_warmed_up().into_iter().for_each(|replica| b.engine.replica_warmed_up(replica));
         }
-        b.exchange.advance(now);
+        b.engine.advance(now);
         let mut work = Vec::new();
-        while let Some(w) = b.exchange.next_action() {
+        while let Some(w) = b.engine.next_action() {
             work.push(w);
         }
         for w in work {
             match w {
                 EngineAction::Call { replica, parts } => {
                     for p in parts {
-                        let tried = self.attempts.entry((p.payload.number, p.shard)).or_default();
-                        *tried += 1;
+                        let attempts = self.attempts.entry((p.payload.number, p.shard)).or_default();
+                        *attempts += 1;
                         self.send(broker, replica, p.attempt, p.payload.work, now);
                     }
                 }
-                EngineAction::Respond { query, outcome: answer } => self.finish(broker, query, &answer, now),
+                EngineAction::Respond { query, outcome: answer } => {
+                    self.record_outcome(broker, query, &answer, now)
+                }
                 EngineAction::CancelAttempt { .. }
                 | EngineAction::WatchEndpoints
                 | EngineAction::HealthCheck { .. } => {}
             }
         }
         let b = &self.brokers[broker];
-        let held = b.exchange.open_queries() + b.exchange.attempts_in_flight();
+        let held = b.engine.open_queries() + b.engine.attempts_in_flight();
         self.counts.most_held = self.counts.most_held.max(held);
         let routing = b.routing.as_ref().and_then(|r| r.next_deadline(now));
-        let due = [b.exchange.next_deadline(), b.roster.as_ref().and_then(|r| r.next_deadline()), routing];
+        let due = [b.engine.next_deadline(), b.registry.as_ref().and_then(|r| r.next_deadline()), routing];
         let due = due.into_iter().flatten().min();
         if let Some(due) = due.map(|t| t.max(now + 1))
             && b.scheduled.is_none_or(|t| due < t || t <= now)
         {
             self.brokers[broker].scheduled = Some(due);
-            self.at(due, Happens::Due { broker });
+            self.schedule(due, Event::Due { broker });
         }
     }
 
     fn send(&mut self, broker: usize, replica: ReplicaId, attempt: AttemptId, work: Nanos, now: Nanos) {
         let b = &mut self.brokers[broker];
         let Some(addr) = b.addrs.get(&replica).copied() else {
-            return self.at(now, Happens::Ends { broker, attempt, how: 2 });
+            return self.schedule(now, Event::AttemptEnds { broker, attempt, outcome_index: 2 });
         };
         if let Some(sent) = &mut self.sent {
             sent.push((now, addr));
         }
-        let told = b.drains.get(&addr);
-        self.counts.late_drain_sends += u64::from(told.is_some_and(|t| now > t + DRAIN_GRACE));
+        let draining_since = b.drains.get(&addr);
+        self.counts.late_drain_sends += u64::from(draining_since.is_some_and(|t| now > t + DRAIN_GRACE));
         // What a part costs differs, as queries do.
         let work = (work as f64 * (0.7 + 0.6 * uniform(&mut self.rng))) as Nanos;
         let ended = match self.nodes.get_mut(&addr) {
-            Some(node) if node.manner == Manner::Silent && !node.fell => None,
-            Some(node) => node.take(now + HOP, work, &self.told.model),
-            None => Some((now + HOP, Outcome::ConnectFailed)),
+            Some(node) if node.behavior == NodeBehavior::Unreachable && !node.crashed => None,
+            Some(node) => node.handle_part(now + NETWORK_LATENCY, work, &self.config.model),
+            None => Some((now + NETWORK_LATENCY, Outcome::ConnectFailed)),
         };
-        let broken = self.told.strain.broken.filter(|(from, until, ..)| (*from..*until).contains(&now));
-        let (lost, reset) = broken.map_or((0.0, 0.0), |(_, _, lost, reset)| (lost, reset));
-        let chance = if broken.is_some() { uniform(&mut self.rng) } else { 1.0 };
+        let answer_faults =
+            self.config.disturbances.answer_faults.filter(|(from, until, ..)| (*from..*until).contains(&now));
+        let (lost, reset) = answer_faults.map_or((0.0, 0.0), |(_, _, lost, reset)| (lost, reset));
+        let chance = if answer_faults.is_some() { uniform(&mut self.rng) } else { 1.0 };
         let (when, outcome) = match ended {
             // Nothing is ever heard of it.
             Some(_) if chance < lost => return,
-            Some((when, _)) if chance < lost + reset => (when + HOP, Outcome::ConnectionReset),
-            Some((when, outcome)) => (when + HOP, outcome),
+            Some((when, _)) if chance < lost + reset => (when + NETWORK_LATENCY, Outcome::ConnectionReset),
+            Some((when, outcome)) => (when + NETWORK_LATENCY, outcome),
             // No connection comes up.
-            None => (now + DIAL, Outcome::ConnectFailed),
+            None => (now + CONNECT_TIMEOUT, Outcome::ConnectFailed),
         };
-        let how = OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(2) as u8;
-        self.at(when, Happens::Ends { broker, attempt, how });
+        let outcome_index = OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(2) as u8;
+        self.schedule(when, Event::AttemptEnds { broker, attempt, outcome_index });
     }
 
-    fn finish(&mut self, broker: usize, query: QueryId, answer: &QueryOutcome<()>, now: Nanos) {
+    fn record_outcome(&mut self, broker: usize, query: QueryId, answer: &QueryOutcome<()>, now: Nanos) {
         let Some(q) = self.queries.get_mut(&(broker, query)) else { return };
-        let class = &self.told.settings.classes[q.class];
-        q.finals += 1;
+        let class = &self.config.settings.classes[q.class];
+        q.final_outcomes += 1;
         q.late |= now > q.at + class.deadline;
         let time = now - q.at;
         match answer {
@@ -470,9 +479,9 @@
                 let short = a.complete && a.values.len() < a.requested_parts;
                 self.counts.dishonest +=
                     u64::from(short || share + 1e-4 < class.min_answer_share.min(class.complete_share));
-                let earns = if a.complete { 1.0 } else { class.partial_value * share };
-                self.counts.served +=
-                    if time <= class.latency_objective { class.priority_weight * earns } else { 0.0 };
+                let value = if a.complete { 1.0 } else { class.partial_value * share };
+                self.counts.served_value +=
+                    if time <= class.latency_objective { class.priority_weight * value } else { 0.0 };
             }
             QueryOutcome::Rejected { .. } => self.counts.refused += 1,
             QueryOutcome::Failed => self.counts.failed += 1,
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -52,17 +52,17 @@
         cores: 2,
         cold_share: 0.19,
         cold_time: 14_000 * MS,
-        fall_multiple: 3.0,
-        fall_time: 1500 * MS,
+        overload_multiple: 3.0,
+        overload_time: 1500 * MS,
         queue: 64,
     };
     // Twice what the warm node can do: 27 parts of 150 ms a second.
     let pushed = |started: u64| {
         let mut node = Node::new(0, started, &model);
         for n in 0..60 {
-            node.take(100_000 * MS + n * 37 * MS, 150 * MS, &model);
+            node.handle_part(100_000 * MS + n * 37 * MS, 150 * MS, &model);
         }
-        node.fell
+        node.crashed
     };
     assert!(pushed(100_000 * MS) && !pushed(0));
 }
