--- a/lab/src/sim/node.rs
+++ b/lab/src/sim/node.rs
@@ -1,63 +1,64 @@
-//! One modelled node.
+//! The model of a node.
 
 use pebbleturn::{Nanos, Outcome};
 use std::collections::VecDeque;
 
-/// What all nodes have in common.
+/// Parameters that all nodes share.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeModel {
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
-    /// Share of its capacity that a node has at its start, and how long until it has all of it.
+    /// Share of its capacity that a node has when it starts, and the time until it reaches full capacity.
     pub cold_share: f64,
     /// See `cold_share`.
     pub cold_time: Nanos,
-    /// A cold node sent more than this multiple of what it can do, over this time, falls over.
+    /// A cold node crashes when the work sent to it over `overload_time` exceeds this multiple of its
+    /// capacity.
     pub overload_multiple: f64,
     /// See `overload_multiple`.
     pub overload_time: Nanos,
-    /// Most parts that wait.
+    /// Limit of waiting parts; further parts are rejected.
     pub queue: usize,
 }
 
-/// What is to be met at a node's address.
+/// How a node's address responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeBehavior {
-    /// The node.
+    /// The node accepts parts.
     Serving,
-    /// It finishes what it has and turns away what is new.
+    /// The node finishes the parts it has and rejects new ones.
     Draining,
-    /// Nothing listens.
+    /// Nothing listens: connections are refused.
     RefusesConnections,
-    /// The machine is gone: no answer of any kind.
+    /// The machine is unreachable: connection attempts time out.
     Unreachable,
-    /// The machine is heard again; its process ran on.
+    /// The machine is reachable again; its process kept running, so the node is still warm.
     ReachableAgain,
-    /// Another program, which speaks something else.
+    /// Another program, with another protocol, has the address.
     OtherProgram,
 }
 
-/// A node.
+/// The state of one node.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// What is met there.
+    /// How its address responds.
     pub behavior: NodeBehavior,
-    /// Its cell.
     pub cell: u32,
     /// When its process started.
     pub started: Nanos,
-    /// It fell over while cold.
+    /// Whether it crashed from overload while cold.
     pub crashed: bool,
-    /// Most work that came within the time to fall while it was cold, in multiples of what it could do then.
+    /// Most work received within `overload_time` while cold, in multiples of the node's capacity at that
+    /// time.
     pub most_pushed: f64,
-    /// When each core is free.
+    /// When each core becomes free.
     free_at: Vec<Nanos>,
-    /// Work that was sent of late: when, and how much.
+    /// Work received within the last `overload_time`: arrival and amount.
     recent_work: VecDeque<(Nanos, Nanos)>,
 }
 
 impl Node {
-    /// A node that serves.
+    /// Creates a node that accepts parts.
     pub fn new(cell: u32, started: Nanos, model: &NodeModel) -> Node {
         let free_at = vec![0; model.cores];
         Node {
@@ -71,13 +72,14 @@
         }
     }
 
-    /// Share of its capacity that it has now.
+    /// Share of its full capacity that it has now.
     pub fn capacity_share(&self, now: Nanos, model: &NodeModel) -> f64 {
         let age = now.saturating_sub(self.started) as f64 / model.cold_time.max(1) as f64;
         (model.cold_share + (1.0 - model.cold_share) * age).min(1.0)
     }
 
-    /// A part of so much work comes: when and how it ends, none where nothing ever comes back.
+    /// Handles a part with this amount of work. Returns when and how it ends, or `None` if there is never a
+    /// response.
     pub fn handle_part(&mut self, now: Nanos, work: Nanos, model: &NodeModel) -> Option<(Nanos, Outcome)> {
         match self.behavior {
             _ if self.crashed => return Some((now, Outcome::ConnectFailed)),
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -16,107 +16,111 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Time between two parties, one way.
+/// One-way network latency, ns.
 const NETWORK_LATENCY: Nanos = 1_000_000;
-/// A connection that is not up by then never comes up.
+/// Connect timeout, ns.
 const CONNECT_TIMEOUT: Nanos = 250_000_000;
-/// Time after which nothing new may be sent to a node whose drain was learnt.
+/// Time that a broker has to stop sending to a node after learning that it drains, ns.
 const DRAIN_GRACE: Nanos = 2_000_000_000;
 
-/// What is asked of a world.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct WorldSettings {
     /// The brokers' settings.
     pub settings: Settings,
-    /// Share of each class among the queries, and the parts and work of each of its queries.
+    /// For each class: its share of the queries, the parts of a query, and the work of a part.
     pub classes: Vec<(f64, u32, Nanos)>,
-    /// Queries a second, all brokers together.
+    /// Queries per second over all brokers.
     pub rate: f64,
-    /// The nodes' model.
+    /// The model of the nodes.
     pub model: NodeModel,
-    /// When clients begin and end to ask.
+    /// When clients start and stop submitting queries.
     pub from: Nanos,
     /// See `from`.
     pub until: Nanos,
-    /// What becomes of nodes, and when.
+    /// Changes of nodes' behavior: when, at which address, and the new behavior.
     pub script: Vec<(Nanos, SocketAddr, NodeBehavior)>,
-    /// What else a fleet meets.
+    /// Uneven traffic, discovery updates and lost answers.
     pub disturbances: Disturbances,
-    /// For all that is drawn.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// What a fleet meets beside what becomes of its nodes; nothing by default.
+/// Disturbances of a fleet other than the scripted changes of its nodes; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Disturbances {
-    /// Each broker's share of the queries beside the others'; even where there are none.
+    /// Relative share of the queries that each broker gets; if empty, all brokers get the same.
     pub traffic: Vec<f64>,
-    /// What discovery tells and when, and by how much it comes later at a broker, at most.
+    /// Updates that discovery publishes and when, and the longest delay until one reaches a broker.
     pub discovery_updates: Vec<(Nanos, EndpointList)>,
     /// See `discovery_updates`.
     pub max_update_delay: Nanos,
-    /// From when until when answers get lost or their connections are reset, and the share of each.
+    /// Start and end of a period in which answers are lost or their connections are reset, and the share of
+    /// each.
     pub answer_faults: Option<(Nanos, Nanos, f64, f64)>,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Worth of all queries, and of those answered in their aim.
+    /// Total value (the class's priority weight) of all queries, and of those answered within the latency
+    /// objective.
     pub requested_value: f64,
     /// See `requested_value`.
     pub served_value: f64,
-    /// Queries answered, refused and failed.
+    /// Number of queries answered, refused and failed.
     pub answered: u64,
     /// See `answered`.
     pub refused: u64,
     /// See `answered`.
     pub failed: u64,
-    /// Parts sent to a node that its broker knew to drain for more than two seconds.
+    /// Parts sent to a node more than two seconds after the broker learned that it drains.
     pub late_drain_sends: u64,
-    /// Nodes that fell over while cold.
+    /// Nodes that crashed from overload while cold.
     pub cold_falls: u64,
-    /// Queries without exactly one final answer in their clients' time.
+    /// Queries without exactly one final outcome before their deadline.
     pub lost: u64,
-    /// Answers marked whole that are not, or given from under the floor.
+    /// Answers marked complete with parts missing, or with a smaller share of parts than the class's floor.
     pub dishonest: u64,
-    /// Most attempts at one part.
+    /// Largest number of attempts at one part.
     pub most_attempts: u32,
-    /// Most work that came to a cold node within the time to fall, in multiples of what it can do.
+    /// Most work that a cold node received within the overload time, in multiples of its capacity.
     pub most_pushed: f64,
-    /// Most that exchanges held at once, of queries, parts and attempts, and what they held at the end.
+    /// Largest number of open queries and attempts in flight at one broker, and their total over all brokers
+    /// at the end.
     pub most_held: usize,
     /// See `most_held`.
     pub held_at_end: usize,
 }
 
-/// How a broker comes by its list.
+/// Where a broker gets its endpoint list from.
 pub enum EndpointSource {
-    /// Lines that it believes as they are.
+    /// Entries that are used unchanged.
     Fixed(Vec<(ReplicaEntry, SocketAddr)>),
-    /// A roster that has heard its sources.
+    /// A node registry that already has the data of its sources.
     Registry(Box<Registry>),
-    /// The same with an operator's rules behind it.
+    /// A node registry followed by an operator's routing rules.
     Routed(Box<Registry>, Box<Routing>),
 }
 
-/// One broker: an exchange, with or without a roster before it.
+/// One broker: a query engine, with or without a node registry and routing rules in front of it.
 pub struct Broker {
     engine: QueryEngine<QueryPayload, ()>,
     registry: Option<Box<Registry>>,
     routing: Option<Box<Routing>>,
     addrs: HashMap<ReplicaId, SocketAddr>,
-    /// Nodes that it knows to drain, and since when.
+    /// Nodes known to drain, and since when; 0 if since before the start.
     drains: HashMap<SocketAddr, Nanos>,
     scheduled: Option<Nanos>,
 }
 
-/// What a query carries: its number, and the work of a part.
+/// The payload of a query: its number, and the work of a part.
 struct QueryPayload {
     number: u64,
     work: Nanos,
 }
 
+/// A query whose outcome is awaited or known.
 struct SubmittedQuery {
     class: usize,
     at: Nanos,
@@ -126,7 +130,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The entry of the script with this number.
+    /// The script entry with this index is applied.
     NodeChanges(usize),
     Query,
     AttemptEnds {
@@ -137,7 +141,7 @@
     Due {
         broker: usize,
     },
-    /// The entry of the news with this number comes to a broker.
+    /// The discovery update with this index reaches a broker.
     DiscoveryUpdate {
         broker: usize,
         number: usize,
@@ -152,7 +156,7 @@
     Outcome::InvalidResponse,
 ];
 
-/// A fleet and those who ask it.
+/// A simulated fleet and its clients.
 pub struct World {
     config: WorldSettings,
     rng: Pcg64Mcg,
@@ -168,8 +172,8 @@
 }
 
 impl World {
-    /// A world of these nodes, by address, whose brokers start with these lists. `drains`: the addresses of nodes
-    /// that every broker knew to drain before its restart.
+    /// Creates a world with these nodes, by address, and one broker for each endpoint source. `drains`: the
+    /// addresses of nodes that every broker knew to drain before its restart.
     pub fn new(
         config: WorldSettings,
         nodes: HashMap<SocketAddr, Node>,
@@ -209,7 +213,7 @@
         };
         for b in 0..world.brokers.len() {
             world.run_broker(b, now);
-            // News comes late, and never before what was told earlier.
+            // Updates are delayed at random, but reach a broker in the order of their publication.
             let mut before = 0;
             for number in 0..world.config.disturbances.discovery_updates.len() {
                 let delay =
@@ -225,7 +229,7 @@
         world
     }
 
-    /// Keeps every part that is sent: when, and where to.
+    /// Enables recording of every part that is sent: when, and to which address.
     pub fn recording_sent_parts(mut self) -> World {
         self.sent = Some(Vec::new());
         self
@@ -236,13 +240,14 @@
         self.queue.push(Reverse((when, self.serial, event)));
     }
 
-    /// Runs until all is over. Gives the counts and the 99th percentile of the answers' times.
+    /// Runs the simulation to its end. Returns the counts and the 99th percentile of the latencies of
+    /// answers.
     pub fn run(self) -> (Counts, Nanos) {
         let (counts, p99, _) = self.run_with_sent_parts();
         (counts, p99)
     }
 
-    /// The same, with the parts that were sent if that was asked for.
+    /// Like `run`, and also returns the parts that were sent if their recording is enabled.
     pub fn run_with_sent_parts(mut self) -> (Counts, Nanos, Vec<(Nanos, SocketAddr)>) {
         let longest_deadline = self.config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
         let end = self.config.until + longest_deadline + 1_000_000_000;
@@ -254,7 +259,7 @@
                 Event::NodeChanges(n) => {
                     let (_, addr, behavior) = self.config.script[n];
                     if let Some(node) = self.nodes.get_mut(&addr) {
-                        // Who serves again has just started.
+                        // A node that serves again after any other behavior is a new process, and cold.
                         if behavior == NodeBehavior::Serving && node.behavior != NodeBehavior::Serving {
                             node.started = now;
                         }
@@ -340,7 +345,7 @@
         self.run_broker(broker, now);
     }
 
-    /// The broker that a query comes to.
+    /// Draws the broker that receives a query.
     fn draw_broker(&mut self) -> usize {
         let x = uniform(&mut self.rng);
         let traffic = &self.config.disturbances.traffic;
@@ -352,7 +357,8 @@
         drawn.unwrap_or((x * self.brokers.len() as f64) as usize)
     }
 
-    /// Lets a broker do all that it has to do now.
+    /// Runs a broker: applies membership changes, executes the engine's actions and schedules its next
+    /// deadline.
     fn run_broker(&mut self, broker: usize, now: Nanos) {
         let b = &mut self.brokers[broker];
         if let Some(registry) = &mut b.registry {
@@ -378,7 +384,8 @@
                         Some(addr) if entry.state == ReplicaState::Draining => {
                             b.drains.entry(addr).or_insert(now);
                         }
-                        // It was only held back; a drain that was learnt before the start stays one.
+                        // The node was only held back and does not drain. A drain known since before the
+                        // start (time 0) is kept.
                         Some(addr) if b.drains.get(&addr).is_some_and(|t| *t > 0) => {
                             b.drains.remove(&addr);
                         }
@@ -442,7 +449,7 @@
         }
         let draining_since = b.drains.get(&addr);
         self.counts.late_drain_sends += u64::from(draining_since.is_some_and(|t| now > t + DRAIN_GRACE));
-        // What a part costs differs, as queries do.
+        // The work of a part varies between 0.7 and 1.3 times its nominal value.
         let work = (work as f64 * (0.7 + 0.6 * uniform(&mut self.rng))) as Nanos;
         let ended = match self.nodes.get_mut(&addr) {
             Some(node) if node.behavior == NodeBehavior::Unreachable && !node.crashed => None,
@@ -454,11 +461,11 @@
         let (lost, reset) = answer_faults.map_or((0.0, 0.0), |(_, _, lost, reset)| (lost, reset));
         let chance = if answer_faults.is_some() { uniform(&mut self.rng) } else { 1.0 };
         let (when, outcome) = match ended {
-            // Nothing is ever heard of it.
+            // The answer is lost.
             Some(_) if chance < lost => return,
             Some((when, _)) if chance < lost + reset => (when + NETWORK_LATENCY, Outcome::ConnectionReset),
             Some((when, outcome)) => (when + NETWORK_LATENCY, outcome),
-            // No connection comes up.
+            // The connect timeout expires.
             None => (now + CONNECT_TIMEOUT, Outcome::ConnectFailed),
         };
         let outcome_index = OUTCOMES.iter().position(|o| *o == outcome).unwrap_or(2) as u8;
