--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -32,7 +32,7 @@
 /// What a fleet goes through.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Trouble {
+pub enum Scenario {
     /// None.
     Calm,
     /// Six in ten nodes are replaced within seven seconds.
@@ -45,7 +45,7 @@
 }
 
 /// Every trouble.
-pub const TROUBLES: [Trouble; 4] = [Trouble::Calm, Trouble::Replaced, Trouble::Zone, Trouble::Split];
+pub const SCENARIOS: [Scenario; 4] = [Scenario::Calm, Scenario::Replaced, Scenario::Zone, Scenario::Split];
 
 /// A fleet.
 #[derive(Clone, Debug)]
@@ -72,9 +72,10 @@
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
-pub struct Played {
+pub struct FleetReport {
     /// What the fleet went through.
-    pub trouble: Trouble,
+    #[serde(rename = "trouble")]
+    pub scenario: Scenario,
     /// Worth answered in its aim over worth asked.
     pub service: f64,
     /// Queries answered, refused and failed.
@@ -97,14 +98,14 @@
     pub held_at_end: usize,
 }
 
-impl fmt::Display for Played {
+impl fmt::Display for FleetReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [answered, refused, failed] = self.ended;
         write!(
             f,
             "{:?}: service {:.3}; {answered} answered, {refused} refused, {failed} failed; {} lost, {} dishonest, at most {} \
              attempts; {} late drain sends; {} cold falls, pushed to {:.2}; held {} at most, {} at the end",
-            self.trouble,
+            self.scenario,
             self.service,
             self.lost,
             self.dishonest,
@@ -177,25 +178,25 @@
         }
     }
 
-    fn course(&self, trouble: Trouble, rng: &mut Pcg64Mcg) -> Course {
+    fn course(&self, scenario: Scenario, rng: &mut Pcg64Mcg) -> Course {
         let mut course = Course::new();
         for n in 0..self.nodes {
             let (chance, at) = (uniform(rng), NOW + 3 * S + (uniform(rng) * RELEASE as f64) as Nanos);
-            match trouble {
-                Trouble::Replaced if chance < 0.6 => course.extend(replaced(n, at)),
-                Trouble::Zone if n.is_multiple_of(2) => {
+            match scenario {
+                Scenario::Replaced if chance < 0.6 => course.extend(replaced(n, at)),
+                Scenario::Zone if n.is_multiple_of(2) => {
                     let (lost, back) = (NOW + 4 * S, NOW + 4 * S + AWAY);
                     let (gone, new) = (line(n, 0, NodeState::Gone, 0), line(n, 1, NodeState::Ready, back));
                     course.push((lost, addr(n, 0), Some(NodeBehavior::Unreachable), None));
                     course.push((lost + 3 * S, addr(n, 0), None, Some(gone)));
                     course.push((back, addr(n, 1), Some(NodeBehavior::Serving), Some(new)));
                 }
-                Trouble::Split if chance < 0.2 => {
+                Scenario::Split if chance < 0.2 => {
                     course.push((NOW + 4 * S, addr(n, 0), Some(NodeBehavior::Unreachable), None));
                     course.push((NOW + 4 * S + SPLIT, addr(n, 0), Some(NodeBehavior::ReachableAgain), None));
                 }
                 // Lists can come late only where they have something to tell.
-                Trouble::Split if chance < 0.3 => course.extend(replaced(n, at)),
+                Scenario::Split if chance < 0.3 => course.extend(replaced(n, at)),
                 _ => {}
             }
         }
@@ -219,11 +220,11 @@
     }
 
     /// Plays one fleet.
-    pub fn play(&self, trouble: Trouble, seed: u64) -> Played {
+    pub fn run(&self, scenario: Scenario, seed: u64) -> FleetReport {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let settings = self.settings();
         let model = self.model(&settings);
-        let course = self.course(trouble, &mut rng);
+        let course = self.course(scenario, &mut rng);
         let mut nodes: HashMap<SocketAddr, Node> = HashMap::new();
         for n in 0..self.nodes {
             nodes.insert(addr(n, 0), Node::new(n, 0, &model));
@@ -255,7 +256,7 @@
         let listings = (0..self.brokers as u64).map(listing).collect();
         // One in ten has four times the others' traffic.
         let traffic = (0..self.brokers).map(|n| if n % 10 == 0 { 4.0 } else { 1.0 }).collect();
-        let split = trouble == Trouble::Split;
+        let split = scenario == Scenario::Split;
         let disturbances = Disturbances {
             traffic,
             discovery_updates: Fleet::news(&course),
@@ -280,8 +281,8 @@
             seed,
         };
         let (c, _): (Counts, Nanos) = World::new(told, nodes, listings, &HashSet::new()).run();
-        Played {
-            trouble,
+        FleetReport {
+            scenario,
             service: (c.served_value / c.requested_value * 1e4).round() / 1e4,
             ended: [c.answered, c.refused, c.failed],
             lost: c.lost,
--- a/lab/src/herd.rs
+++ b/lab/src/herd.rs
@@ -50,7 +50,7 @@
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
-pub struct Asked {
+pub struct HerdReport {
     /// What made them ask.
     pub cause: Cause,
     /// Brokers that had to ask, and the calls that they made.
@@ -71,7 +71,7 @@
     pub without: usize,
 }
 
-impl fmt::Display for Asked {
+impl fmt::Display for HerdReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -136,7 +136,7 @@
 
 impl Herd {
     /// Plays one cause.
-    pub fn play(&self, cause: Cause, seed: u64) -> Asked {
+    pub fn run(&self, cause: Cause, seed: u64) -> HerdReport {
         let mut play = Play {
             rng: Pcg64Mcg::seed_from_u64(seed),
             queue: BinaryHeap::new(),
@@ -211,7 +211,7 @@
         let mut got: Vec<Nanos> = has.iter().flatten().map(|t| t.saturating_sub(begun)).collect();
         got.sort_unstable();
         let seconds = |t: Option<&Nanos>| t.map_or(f64::INFINITY, |t| *t as f64 / 1e9);
-        Asked {
+        HerdReport {
             cause,
             brokers: asking,
             calls: play.calls.len(),
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -3,7 +3,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use pebbleturn_lab::cluster::measure::{self, Spread};
-use pebbleturn_lab::fleet::{Fleet, TROUBLES};
+use pebbleturn_lab::fleet::{Fleet, SCENARIOS};
 use pebbleturn_lab::herd::{CAUSES, Herd};
 use pebbleturn_lab::restart::{AGES, ARMS, Line, Scene};
 use pebbleturn_lab::{demo, operation, plot, routing, sockets};
@@ -196,8 +196,8 @@
 }
 
 fn fleet(fleet: &Fleet, Told { seed, json }: Told) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
-    for trouble in TROUBLES {
-        let played = fleet.play(trouble, seed);
+    for scenario in SCENARIOS {
+        let played = fleet.run(scenario, seed);
         if json { println!("{}", serde_json::to_string(&played)?) } else { println!("{played}") }
     }
     Ok(())
@@ -242,7 +242,7 @@
 
 fn herd(herd: Herd, Told { seed, json }: Told) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     for cause in CAUSES {
-        let asked = herd.play(cause, seed);
+        let asked = herd.run(cause, seed);
         if json { println!("{}", serde_json::to_string(&asked)?) } else { println!("{asked}") }
     }
     Ok(())
