--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Hundreds of brokers before hundreds of nodes in simulated time: what all of them do together in troubles that each
-//! one alone would hardly notice.
+//! Hundreds of brokers and hundreds of nodes in simulated time: the combined effect of all brokers under
+//! faults that would hardly affect a single one.
 
 use crate::restart::Scene;
 use crate::sim::{
@@ -17,50 +17,51 @@
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
-/// The time at which clients begin to ask.
-const NOW: Nanos = 1_000_000 * S;
-/// How long after its successor a replaced node drains, and how long after that it is gone.
-const REPLACED: (Nanos, Nanos) = (1500 * MS, 3500 * MS);
-/// Time over which six in ten nodes are replaced.
-const RELEASE: Nanos = 7 * S;
-/// How long a lost zone is away, and for how long a part of the nodes is silent.
-const AWAY: Nanos = 5 * S;
-const SPLIT: Nanos = 6 * S;
-/// Discovery tells what has changed this often.
-const PERIOD: Nanos = 450 * MS;
+/// The simulated time at which clients start to submit queries, ns.
+const START: Nanos = 1_000_000 * S;
+/// Time from the start of its successor until a replaced node drains, and from then until it is gone, ns.
+const REPLACEMENT: (Nanos, Nanos) = (1500 * MS, 3500 * MS);
+/// Time over which six in ten nodes are replaced, ns.
+const ROLLOUT_TIME: Nanos = 7 * S;
+/// Time for which a lost zone is unavailable, ns.
+const ZONE_OUTAGE: Nanos = 5 * S;
+/// Time for which a part of the nodes is unreachable, ns.
+const SPLIT_TIME: Nanos = 6 * S;
+/// Interval at which discovery publishes changes, ns.
+const DISCOVERY_PERIOD: Nanos = 450 * MS;
 
-/// What a fleet goes through.
+/// The faults that a fleet is subjected to.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Scenario {
-    /// None.
+    /// No faults.
     Calm,
     /// Six in ten nodes are replaced within seven seconds.
     Replaced,
-    /// Every second node is lost without a word for five seconds and comes back cold.
+    /// Every second node is lost without notice for five seconds and comes back cold.
     Zone,
-    /// For six seconds a fifth of the nodes is silent, answers get lost and connections are reset, while one in ten
-    /// nodes is replaced and lists come up to three seconds late.
+    /// For six seconds a fifth of the nodes is unreachable, answers are lost and connections are reset, while
+    /// one in ten nodes is replaced and lists arrive up to three seconds late.
     Split,
 }
 
-/// Every trouble.
+/// Every scenario.
 pub const SCENARIOS: [Scenario; 4] = [Scenario::Calm, Scenario::Replaced, Scenario::Zone, Scenario::Split];
 
-/// A fleet.
+/// The size and load of a fleet.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Brokers, of which some have several times the mean's traffic.
+    /// Number of brokers; some have several times the mean traffic.
     pub brokers: usize,
-    /// Nodes; each partition lies on four in a row.
+    /// Number of nodes; each partition is held by four consecutive ones.
     pub nodes: u32,
-    /// Queries a second, all brokers together, and the parts of each.
+    /// Queries per second over all brokers, and the parts of each.
     pub rate: f64,
     /// See `rate`.
     pub parts: u32,
-    /// Work of a part.
+    /// Work of a part, ns.
     pub work: Nanos,
-    /// How long clients ask.
+    /// Time for which clients submit queries, ns.
     pub time: Nanos,
 }
 
@@ -70,29 +71,32 @@
     }
 }
 
-/// What was measured.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct FleetReport {
-    /// What the fleet went through.
+    /// The scenario of the run.
     #[serde(rename = "trouble")]
     pub scenario: Scenario,
-    /// Worth answered in its aim over worth asked.
+    /// Share of the queries' value (their classes' priority weights) that was answered within the latency
+    /// objective.
     pub service: f64,
-    /// Queries answered, refused and failed.
+    /// Number of queries answered, refused and failed.
     pub ended: [u64; 3],
-    /// Queries without exactly one final answer in time, and answers that said what is not so.
+    /// Queries without exactly one final outcome in time, and answers that were wrongly marked complete or
+    /// below the class's floor.
     pub lost: u64,
     /// See `lost`.
     pub dishonest: u64,
-    /// Most attempts at one part.
+    /// Largest number of attempts at one part.
     pub most_attempts: u32,
-    /// Parts sent to a node more than two seconds after its drain was learnt.
+    /// Parts sent to a node more than two seconds after the broker learned that it drains.
     pub late_drain_sends: u64,
-    /// Cold nodes that fell over, and the most work that came to one in multiples of what it could do.
+    /// Cold nodes that crashed from overload, and the most work that a cold node received, in multiples of
+    /// its capacity.
     pub cold_falls: u64,
     /// See `cold_falls`.
     pub most_pushed: f64,
-    /// Most queries and attempts that one broker held, and what all held at the end.
+    /// Largest number of queries and attempts that one broker held, and the number that all held at the end.
     pub most_held: usize,
     /// See `most_held`.
     pub held_at_end: usize,
@@ -119,14 +123,14 @@
     }
 }
 
-fn addr(n: u32, place: u8) -> SocketAddr {
-    SocketAddr::from(([127, place + 1, (n >> 8) as u8, n as u8], 80))
+fn addr(n: u32, generation: u8) -> SocketAddr {
+    SocketAddr::from(([127, generation + 1, (n >> 8) as u8, n as u8], 80))
 }
 
-fn line(n: u32, place: u8, state: NodeState, started: Nanos) -> Endpoint {
+fn endpoint(n: u32, generation: u8, state: NodeState, started: Nanos) -> Endpoint {
     Endpoint {
-        id: format!("n-{n}-{place}"),
-        addr: addr(n, place).to_string(),
+        id: format!("n-{n}-{generation}"),
+        addr: addr(n, generation).to_string(),
         zone: Some(if n.is_multiple_of(2) { "a" } else { "b" }.into()),
         kind: String::new(),
         cell: n,
@@ -135,24 +139,26 @@
     }
 }
 
-/// What happens to nodes: when, at which address, how it is met from then on, and what discovery says of it.
-type Course = Vec<(Nanos, SocketAddr, Option<NodeBehavior>, Option<Endpoint>)>;
+/// Changes of nodes: when, at which address, how it responds from then on, and the record that discovery
+/// publishes.
+type Timeline = Vec<(Nanos, SocketAddr, Option<NodeBehavior>, Option<Endpoint>)>;
 
-/// A node that drains once its successor, which starts then, is there.
-fn replaced(n: u32, at: Nanos) -> Course {
-    let (drains, gone) = (at + REPLACED.0, at + REPLACED.0 + REPLACED.1);
-    let told = |state| Some(line(n, 0, state, 0));
+/// Replaces a node: its successor starts at `at`, and the node drains after that.
+fn replacement(n: u32, at: Nanos) -> Timeline {
+    let (drains, gone) = (at + REPLACEMENT.0, at + REPLACEMENT.0 + REPLACEMENT.1);
+    let listed = |state| Some(endpoint(n, 0, state, 0));
     vec![
-        (at, addr(n, 1), Some(NodeBehavior::Serving), Some(line(n, 1, NodeState::Ready, at))),
-        // It turns new parts away once all have had their time to learn of it.
-        (drains, addr(n, 0), None, told(NodeState::Terminating)),
+        (at, addr(n, 1), Some(NodeBehavior::Serving), Some(endpoint(n, 1, NodeState::Ready, at))),
+        // It rejects new parts only after all brokers have had time to learn of the drain.
+        (drains, addr(n, 0), None, listed(NodeState::Terminating)),
         (drains + 2 * S, addr(n, 0), Some(NodeBehavior::Draining), None),
-        (gone, addr(n, 0), Some(NodeBehavior::RefusesConnections), told(NodeState::Gone)),
+        (gone, addr(n, 0), Some(NodeBehavior::RefusesConnections), listed(NodeState::Gone)),
     ]
 }
 
 impl Fleet {
-    /// The brokers' settings: the users' classes with a quarter of their times.
+    /// The brokers' settings: the users' classes with a quarter of their latency objective and a third of
+    /// their deadline.
     pub fn settings(&self) -> Settings {
         let scene = Scene {
             nodes: self.nodes,
@@ -178,69 +184,78 @@
         }
     }
 
-    fn course(&self, scenario: Scenario, rng: &mut Pcg64Mcg) -> Course {
-        let mut course = Course::new();
+    fn timeline(&self, scenario: Scenario, rng: &mut Pcg64Mcg) -> Timeline {
+        let mut timeline = Timeline::new();
         for n in 0..self.nodes {
-            let (chance, at) = (uniform(rng), NOW + 3 * S + (uniform(rng) * RELEASE as f64) as Nanos);
+            let (chance, at) = (uniform(rng), START + 3 * S + (uniform(rng) * ROLLOUT_TIME as f64) as Nanos);
             match scenario {
-                Scenario::Replaced if chance < 0.6 => course.extend(replaced(n, at)),
+                Scenario::Replaced if chance < 0.6 => timeline.extend(replacement(n, at)),
                 Scenario::Zone if n.is_multiple_of(2) => {
-                    let (lost, back) = (NOW + 4 * S, NOW + 4 * S + AWAY);
-                    let (gone, new) = (line(n, 0, NodeState::Gone, 0), line(n, 1, NodeState::Ready, back));
-                    course.push((lost, addr(n, 0), Some(NodeBehavior::Unreachable), None));
-                    course.push((lost + 3 * S, addr(n, 0), None, Some(gone)));
-                    course.push((back, addr(n, 1), Some(NodeBehavior::Serving), Some(new)));
+                    let (lost, back) = (START + 4 * S, START + 4 * S + ZONE_OUTAGE);
+                    let (gone, new) =
+                        (endpoint(n, 0, NodeState::Gone, 0), endpoint(n, 1, NodeState::Ready, back));
+                    timeline.push((lost, addr(n, 0), Some(NodeBehavior::Unreachable), None));
+                    timeline.push((lost + 3 * S, addr(n, 0), None, Some(gone)));
+                    timeline.push((back, addr(n, 1), Some(NodeBehavior::Serving), Some(new)));
                 }
                 Scenario::Split if chance < 0.2 => {
-                    course.push((NOW + 4 * S, addr(n, 0), Some(NodeBehavior::Unreachable), None));
-                    course.push((NOW + 4 * S + SPLIT, addr(n, 0), Some(NodeBehavior::ReachableAgain), None));
+                    timeline.push((START + 4 * S, addr(n, 0), Some(NodeBehavior::Unreachable), None));
+                    timeline.push((
+                        START + 4 * S + SPLIT_TIME,
+                        addr(n, 0),
+                        Some(NodeBehavior::ReachableAgain),
+                        None,
+                    ));
                 }
-                // Lists can come late only where they have something to tell.
-                Scenario::Split if chance < 0.3 => course.extend(replaced(n, at)),
+                // Replaces some nodes, since delayed updates only matter if there are changes to publish.
+                Scenario::Split if chance < 0.3 => timeline.extend(replacement(n, at)),
                 _ => {}
             }
         }
-        course.sort_by_key(|(t, ..)| *t);
-        course
+        timeline.sort_by_key(|(t, ..)| *t);
+        timeline
     }
 
-    /// What discovery tells of this, a version each period in which something happened.
-    fn news(course: &Course) -> Vec<(Nanos, EndpointList)> {
-        let mut news: Vec<(Nanos, EndpointList)> = Vec::new();
-        for (at, line) in course.iter().filter_map(|(at, _, _, line)| Some((at, line.clone()?))) {
-            let told = at.next_multiple_of(PERIOD);
-            let version = 2 + news.len() as u64;
-            match news.last_mut().filter(|(t, _)| *t == told) {
-                Some((_, list)) => list.servers.push(line),
-                None => news
-                    .push((told, EndpointList { version, full: false, as_of_ms: None, servers: vec![line] })),
+    /// The updates that discovery publishes for these changes: one version for each period that has changes.
+    fn discovery_updates(timeline: &Timeline) -> Vec<(Nanos, EndpointList)> {
+        let mut updates: Vec<(Nanos, EndpointList)> = Vec::new();
+        for (at, endpoint) in timeline.iter().filter_map(|(at, _, _, endpoint)| Some((at, endpoint.clone()?)))
+        {
+            let published = at.next_multiple_of(DISCOVERY_PERIOD);
+            let version = 2 + updates.len() as u64;
+            match updates.last_mut().filter(|(t, _)| *t == published) {
+                Some((_, list)) => list.servers.push(endpoint),
+                None => updates.push((
+                    published,
+                    EndpointList { version, full: false, as_of_ms: None, servers: vec![endpoint] },
+                )),
             }
         }
-        news
+        updates
     }
 
-    /// Plays one fleet.
+    /// Simulates the fleet in one scenario.
     pub fn run(&self, scenario: Scenario, seed: u64) -> FleetReport {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let settings = self.settings();
         let model = self.model(&settings);
-        let course = self.course(scenario, &mut rng);
+        let timeline = self.timeline(scenario, &mut rng);
         let mut nodes: HashMap<SocketAddr, Node> = HashMap::new();
         for n in 0..self.nodes {
             nodes.insert(addr(n, 0), Node::new(n, 0, &model));
-            // Nothing listens at a successor's place until it starts.
-            let mut later = Node::new(n, 0, &model);
-            later.behavior = NodeBehavior::RefusesConnections;
-            nodes.insert(addr(n, 1), later);
+            // Nothing listens at a successor's address until it starts.
+            let mut successor = Node::new(n, 0, &model);
+            successor.behavior = NodeBehavior::RefusesConnections;
+            nodes.insert(addr(n, 1), successor);
         }
         let list = EndpointList {
             version: 1,
             full: true,
-            as_of_ms: Some(NOW / MS),
-            servers: (0..self.nodes).map(|n| line(n, 0, NodeState::Ready, 0)).collect(),
+            as_of_ms: Some(START / MS),
+            servers: (0..self.nodes).map(|n| endpoint(n, 0, NodeState::Ready, 0)).collect(),
         };
-        let listing = |broker: u64| {
-            let mut roster = Registry::new(RegistrySettings {
+        let source = |broker: u64| {
+            let mut registry = Registry::new(RegistrySettings {
                 layout: PartitionLayout { cells: self.nodes, span: settings.span },
                 warm_up: settings.slow_start_time,
                 mean_change_interval: 24 * 3600 * S,
@@ -250,22 +265,22 @@
                 kinds: vec![],
                 seed: seed ^ broker << 32 | broker,
             });
-            roster.add_configured(&list, NOW);
-            EndpointSource::Registry(Box::new(roster))
+            registry.add_configured(&list, START);
+            EndpointSource::Registry(Box::new(registry))
         };
-        let listings = (0..self.brokers as u64).map(listing).collect();
-        // One in ten has four times the others' traffic.
+        let sources = (0..self.brokers as u64).map(source).collect();
+        // One broker in ten has four times the traffic of the others.
         let traffic = (0..self.brokers).map(|n| if n % 10 == 0 { 4.0 } else { 1.0 }).collect();
         let split = scenario == Scenario::Split;
         let disturbances = Disturbances {
             traffic,
-            discovery_updates: Fleet::news(&course),
+            discovery_updates: Fleet::discovery_updates(&timeline),
             max_update_delay: if split { 3 * S } else { 300 * MS },
-            answer_faults: split.then_some((NOW + 4 * S, NOW + 4 * S + SPLIT, 0.01, 0.01)),
+            answer_faults: split.then_some((START + 4 * S, START + 4 * S + SPLIT_TIME, 0.01, 0.01)),
         };
         let script =
-            course.into_iter().filter_map(|(at, addr, behavior, _)| Some((at, addr, behavior?))).collect();
-        let told = WorldSettings {
+            timeline.into_iter().filter_map(|(at, addr, behavior, _)| Some((at, addr, behavior?))).collect();
+        let config = WorldSettings {
             settings,
             classes: vec![
                 (0.62, self.parts, self.work),
@@ -274,13 +289,13 @@
             ],
             rate: self.rate,
             model,
-            from: NOW,
-            until: NOW + self.time,
+            from: START,
+            until: START + self.time,
             script,
             disturbances,
             seed,
         };
-        let (c, _): (Counts, Nanos) = World::new(told, nodes, listings, &HashSet::new()).run();
+        let (c, _): (Counts, Nanos) = World::new(config, nodes, sources, &HashSet::new()).run();
         FleetReport {
             scenario,
             service: (c.served_value / c.requested_value * 1e4).round() / 1e4,
--- a/lab/src/herd.rs
+++ b/lab/src/herd.rs
@@ -1,5 +1,6 @@
-//! Many brokers before one discovery that answers few calls a second: how their calls are spread, and when the last of
-//! them has its list. The brokers are their own schedules of calls, in simulated time.
+//! Many brokers call one discovery service that answers few calls per second (a thundering herd): how their
+//! calls are spread over time, and when the last broker has its list. Each broker is represented by its own
+//! watch schedule; time is simulated.
 
 use crate::sim::uniform;
 use pebbleturn::Nanos;
@@ -13,61 +14,64 @@
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
-/// How long a call waits at discovery before it ends in 503.
-const PATIENCE: Nanos = 2 * S;
-/// Span of time over which calls are counted to find the densest.
-const SPAN: Nanos = 100 * MS;
-/// Longest that a herd is watched.
-const LONGEST: Nanos = 120 * S;
+/// Time that a call waits at discovery before it ends with status 503, ns.
+const QUEUE_TIMEOUT: Nanos = 2 * S;
+/// Window in which calls are counted to find the largest number, ns.
+const COUNT_WINDOW: Nanos = 100 * MS;
+/// Longest simulated time of a run, ns.
+const MAX_RUN_TIME: Nanos = 120 * S;
 
-/// Time in which a connection must be established, and a drain's grace, as on the platform.
+/// Connect timeout, as on the platform, ns.
 const DIAL_TIMEOUT: Nanos = 250 * MS;
-const GRACE: Nanos = 2 * S;
+/// Grace period of a drain, as on the platform, ns.
+const DRAIN_GRACE: Nanos = 2 * S;
 
-/// What makes brokers ask.
+/// The event that makes brokers call discovery.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Cause {
-    /// Seven in ten start within one second.
+    /// Seven in ten brokers start within one second.
     Started,
-    /// The same, while discovery fails at once for four seconds.
+    /// The same, while every call to discovery fails immediately for the first four seconds.
     Down,
-    /// Discovery moves for all at one moment, while a tenth of them starts.
+    /// The address of discovery changes for all brokers at the same time, while a tenth of them is starting.
     Moved,
 }
 
 /// Every cause.
 pub const CAUSES: [Cause; 3] = [Cause::Started, Cause::Down, Cause::Moved];
 
-/// Brokers, and what discovery can do.
+/// The number of brokers and the capacity of discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Herd {
-    /// Brokers.
+    /// Number of brokers.
     pub brokers: usize,
-    /// Calls that discovery answers in a second, one after the other.
+    /// Calls that discovery answers per second, one after the other.
     pub capacity: f64,
 }
 
-/// What was measured.
+/// The results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct HerdReport {
-    /// What made them ask.
+    /// The event that made the brokers call.
     pub cause: Cause,
-    /// Brokers that had to ask, and the calls that they made.
+    /// Brokers that had to call, and the calls that they made.
     pub brokers: usize,
     /// See `brokers`.
     pub calls: usize,
-    /// Calls that failed.
+    /// Number of calls that failed.
     pub failed: usize,
-    /// Most calls within a tenth of a second, and the same from one second after the first on.
+    /// Largest number of calls within a tenth of a second, and the same from one second after the first call
+    /// that could be answered.
     pub densest: usize,
     /// See `densest`.
     pub densest_later: usize,
-    /// When half of them had the list, and when all had, seconds after the first call that could be answered.
+    /// Time until half of the brokers had the list, and until all had, seconds after the first call that
+    /// could be answered.
     pub half_s: f64,
     /// See `half_s`.
     pub all_s: f64,
-    /// Brokers that had none when the time was over.
+    /// Brokers without a list at the end of the run.
     pub without: usize,
 }
 
@@ -91,142 +95,148 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Happens {
-    /// A broker has something to do.
+enum Event {
+    /// The next action of a broker's schedule is due.
     Due(usize),
-    /// A broker calls at once: discovery has moved.
-    Calls(usize),
-    /// Its call is answered, or fails.
+    /// A running broker calls immediately, because the address of discovery has changed.
+    CallsNow(usize),
+    /// A broker's call is answered.
     Answered(usize, CallId),
+    /// A broker's call fails.
     Failed(usize, CallId),
 }
 
-struct Play {
+struct Run {
     rng: Pcg64Mcg,
-    queue: BinaryHeap<Reverse<(Nanos, u64, Happens)>>,
+    queue: BinaryHeap<Reverse<(Nanos, u64, Event)>>,
     serial: u64,
-    /// When discovery is done with what it has, and since when it answers.
+    /// When discovery has handled the calls that it has accepted.
     free_at: Nanos,
-    up: Nanos,
-    serve: Nanos,
+    /// Time from which on discovery answers calls.
+    available_from: Nanos,
+    /// Time that discovery takes to answer a call.
+    service_time: Nanos,
     calls: Vec<Nanos>,
     failed: usize,
 }
 
-impl Play {
-    fn at(&mut self, when: Nanos, what: Happens) {
+impl Run {
+    fn schedule(&mut self, when: Nanos, event: Event) {
         self.serial += 1;
-        self.queue.push(Reverse((when, self.serial, what)));
+        self.queue.push(Reverse((when, self.serial, event)));
     }
 
-    /// One call comes to discovery, which handles calls in turn.
+    /// A call reaches discovery, which handles calls one after the other.
     fn call(&mut self, broker: usize, call: CallId, now: Nanos) {
         self.calls.push(now);
-        let begins = self.free_at.max(now);
-        if now < self.up {
-            self.at(now + MS, Happens::Failed(broker, call));
-        } else if begins > now + PATIENCE {
-            self.at(now + PATIENCE, Happens::Failed(broker, call));
+        let starts_at = self.free_at.max(now);
+        if now < self.available_from {
+            self.schedule(now + MS, Event::Failed(broker, call));
+        } else if starts_at > now + QUEUE_TIMEOUT {
+            self.schedule(now + QUEUE_TIMEOUT, Event::Failed(broker, call));
         } else {
-            self.free_at = begins + self.serve;
-            self.at(self.free_at, Happens::Answered(broker, call));
+            self.free_at = starts_at + self.service_time;
+            self.schedule(self.free_at, Event::Answered(broker, call));
         }
     }
 }
 
 impl Herd {
-    /// Plays one cause.
+    /// Simulates the brokers for one cause.
     pub fn run(&self, cause: Cause, seed: u64) -> HerdReport {
-        let mut play = Play {
+        let mut run = Run {
             rng: Pcg64Mcg::seed_from_u64(seed),
             queue: BinaryHeap::new(),
             serial: 0,
             free_at: 0,
-            up: if cause == Cause::Down { 4 * S } else { 0 },
-            serve: (1e9 / self.capacity) as Nanos,
+            available_from: if cause == Cause::Down { 4 * S } else { 0 },
+            service_time: (1e9 / self.capacity) as Nanos,
             calls: Vec::new(),
             failed: 0,
         };
-        let asking = match cause {
+        let callers = match cause {
             Cause::Moved => self.brokers,
             Cause::Started | Cause::Down => self.brokers * 7 / 10,
         };
         let mut brokers: Vec<WatchSchedule> = Vec::new();
-        for n in 0..asking {
-            let starts = (uniform(&mut play.rng) * S as f64) as Nanos;
-            // Whoever runs while discovery moves calls the new one on the word itself.
-            let runs = cause == Cause::Moved && !n.is_multiple_of(10);
+        for n in 0..callers {
+            let started_at = (uniform(&mut run.rng) * S as f64) as Nanos;
+            // A broker that runs when the address of discovery changes calls the new address immediately.
+            let already_running = cause == Cause::Moved && !n.is_multiple_of(10);
             let fleet = self.brokers as u32;
             let mut broker =
-                WatchSchedule::for_shared_discovery(DIAL_TIMEOUT, GRACE, fleet, seed << 32 | n as u64);
-            if !runs {
-                broker.request_soon(starts);
+                WatchSchedule::for_shared_discovery(DIAL_TIMEOUT, DRAIN_GRACE, fleet, seed << 32 | n as u64);
+            if !already_running {
+                broker.request_soon(started_at);
             }
-            play.at(if runs { S } else { starts }, if runs { Happens::Calls(n) } else { Happens::Due(n) });
+            run.schedule(
+                if already_running { S } else { started_at },
+                if already_running { Event::CallsNow(n) } else { Event::Due(n) },
+            );
             brokers.push(broker);
         }
-        let mut has = vec![None; asking];
-        while let Some(Reverse((now, _, what))) = play.queue.pop() {
-            if now > LONGEST || has.iter().all(Option::is_some) {
+        let mut list_at = vec![None; callers];
+        while let Some(Reverse((now, _, event))) = run.queue.pop() {
+            if now > MAX_RUN_TIME || list_at.iter().all(Option::is_some) {
                 break;
             }
-            let (Happens::Due(n) | Happens::Calls(n) | Happens::Answered(n, _) | Happens::Failed(n, _)) =
-                what;
-            // Its watch stands.
-            if has[n].is_some() {
+            let (Event::Due(n) | Event::CallsNow(n) | Event::Answered(n, _) | Event::Failed(n, _)) = event;
+            // This broker has its list, and its watch is established.
+            if list_at[n].is_some() {
                 continue;
             }
             let broker = &mut brokers[n];
-            match what {
-                Happens::Due(_) => {}
-                Happens::Calls(_) => broker.restart(now),
-                Happens::Answered(_, call) => {
-                    has[n] = Some(now);
+            match event {
+                Event::Due(_) => {}
+                Event::CallsNow(_) => broker.restart(now),
+                Event::Answered(_, call) => {
+                    list_at[n] = Some(now);
                     broker.on_list(call, now);
                     continue;
                 }
-                Happens::Failed(_, call) => {
-                    play.failed += 1;
+                Event::Failed(_, call) => {
+                    run.failed += 1;
                     broker.ended(call, now);
                 }
             }
             while let Some(action) = broker.next_action(now) {
-                // A call that timed out has ended: discovery may still handle it.
+                // A call that timed out has ended for the broker, but discovery may still handle it.
                 if action == WatchAction::Begin {
                     let call = broker.begun(now);
                     broker.connected(call, now);
-                    play.call(n, call, now);
+                    run.call(n, call, now);
                 }
             }
             if let Some(due) = broker.next_deadline() {
-                play.at(due.max(now + MS), Happens::Due(n));
+                run.schedule(due.max(now + MS), Event::Due(n));
             }
         }
-        play.calls.sort_unstable();
+        run.calls.sort_unstable();
         let within = |from: Nanos| {
-            let first = play.calls.partition_point(|t| *t < from);
-            play.calls[first..].iter().take_while(|t| **t < from + SPAN).count()
+            let first = run.calls.partition_point(|t| *t < from);
+            run.calls[first..].iter().take_while(|t| **t < from + COUNT_WINDOW).count()
         };
-        let begun = play.calls.first().copied().unwrap_or(0).max(play.up);
-        let mut got: Vec<Nanos> = has.iter().flatten().map(|t| t.saturating_sub(begun)).collect();
-        got.sort_unstable();
+        let first_answerable = run.calls.first().copied().unwrap_or(0).max(run.available_from);
+        let mut delays: Vec<Nanos> =
+            list_at.iter().flatten().map(|t| t.saturating_sub(first_answerable)).collect();
+        delays.sort_unstable();
         let seconds = |t: Option<&Nanos>| t.map_or(f64::INFINITY, |t| *t as f64 / 1e9);
         HerdReport {
             cause,
-            brokers: asking,
-            calls: play.calls.len(),
-            failed: play.failed,
-            densest: play.calls.iter().map(|t| within(*t)).max().unwrap_or(0),
-            densest_later: play
+            brokers: callers,
+            calls: run.calls.len(),
+            failed: run.failed,
+            densest: run.calls.iter().map(|t| within(*t)).max().unwrap_or(0),
+            densest_later: run
                 .calls
                 .iter()
-                .filter(|t| **t >= begun + S)
+                .filter(|t| **t >= first_answerable + S)
                 .map(|t| within(*t))
                 .max()
                 .unwrap_or(0),
-            half_s: seconds(got.get(asking / 2)),
-            all_s: seconds(got.last().filter(|_| got.len() == asking)),
-            without: asking - got.len(),
+            half_s: seconds(delays.get(callers / 2)),
+            all_s: seconds(delays.last().filter(|_| delays.len() == callers)),
+            without: callers - delays.len(),
         }
     }
 }
