--- a/lab/src/routing.rs
+++ b/lab/src/routing.rs
@@ -1,4 +1,5 @@
-//! Routing measured in simulated time: shares against weights, and a set that fails over to its spare and back.
+//! Measurements of routing in simulated time: shares of the work against weights, and a node set that fails
+//! over to its spare and back.
 
 use crate::sim::{Disturbances, EndpointSource, Node, NodeBehavior, NodeModel, World, WorldSettings};
 use pebbleturn::membership::{NodeRecord, NodeState, PartitionLayout, Registry, RegistrySettings};
@@ -11,14 +12,14 @@
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
-const NOW: Nanos = 1_000_000 * S;
+const START: Nanos = 1_000_000 * S;
 const WORK: Nanos = 20 * MS;
 
 fn addr(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 3, (n >> 8) as u8, n as u8], 80))
 }
 
-/// The exchange's settings for one partition that all nodes hold.
+/// The query engine's settings for one partition that all nodes hold.
 fn settings() -> Settings {
     let class = Class {
         idempotency: Idempotency::Idempotent,
@@ -72,8 +73,8 @@
     queue: 256,
 };
 
-/// Where each part went, and what else was counted.
-fn play(
+/// Simulates one broker with a node for each rule. Returns the counts, and when and where each part was sent.
+fn simulate(
     rules: &[Rule],
     rate: f64,
     time: Nanos,
@@ -81,7 +82,7 @@
     seed: u64,
 ) -> (crate::sim::Counts, Vec<(Nanos, SocketAddr)>) {
     let layout = PartitionLayout { cells: 1, span: 1 };
-    let mut roster = Registry::new(RegistrySettings {
+    let mut registry = Registry::new(RegistrySettings {
         layout,
         warm_up: 0,
         mean_change_interval: 24 * 3600 * S,
@@ -92,7 +93,7 @@
         seed,
     });
     let id = |n: usize| format!("n-{n}");
-    let fact = |n: usize| NodeRecord {
+    let record = |n: usize| NodeRecord {
         id: id(n),
         addr: Some(addr(n)),
         zone: String::new(),
@@ -101,37 +102,38 @@
         state: NodeState::Ready,
         started: 0,
     };
-    roster.set_operator_nodes((0..rules.len()).map(fact).collect(), NOW);
+    registry.set_operator_nodes((0..rules.len()).map(record).collect(), START);
     let rules: HashMap<String, Rule> = rules.iter().enumerate().map(|(n, r)| (id(n), r.clone())).collect();
     let nodes = (0..rules.len()).map(|n| (addr(n), Node::new(0, 0, &MODEL))).collect();
     let routing = Routing::new(RoutingSettings { layout, rules, warm_up: 10 * S, failback_delay: 15 * S });
-    let told = WorldSettings {
+    let config = WorldSettings {
         settings: settings(),
         classes: vec![(1.0, 1, WORK)],
         rate,
         model: MODEL,
-        from: NOW,
-        until: NOW + time,
+        from: START,
+        until: START + time,
         script,
         disturbances: Disturbances::default(),
         seed,
     };
-    let listing = EndpointSource::Routed(Box::new(roster), Box::new(routing));
+    let source = EndpointSource::Routed(Box::new(registry), Box::new(routing));
     let (counts, _, sent) =
-        World::new(told, nodes, vec![listing], &HashSet::new()).recording_sent_parts().run_with_sent_parts();
+        World::new(config, nodes, vec![source], &HashSet::new()).recording_sent_parts().run_with_sent_parts();
     (counts, sent)
 }
 
 /// Shares of the work against weights.
 #[derive(Clone, Debug, Serialize)]
 pub struct Shares {
-    /// Parts that were sent.
+    /// Number of parts that were sent.
     pub parts: usize,
-    /// The weights, and the shares that came of them.
+    /// The weights of the nodes, and the shares of the parts that they received.
     pub weights: Vec<f64>,
     /// See `weights`.
     pub shares: Vec<f64>,
-    /// Largest difference between a share and its weight's, and three standard errors of such a draw.
+    /// Largest difference between a measured and an expected share, and three standard errors of random
+    /// sampling by weight.
     pub error: f64,
     /// See `error`.
     pub bound: f64,
@@ -143,34 +145,36 @@
     }
 }
 
-/// Sends about so many parts to nodes of these weights.
+/// Sends about `parts` parts to nodes with these weights.
 pub fn shares(weights: &[f64], parts: usize, seed: u64) -> Shares {
     let rules: Vec<Rule> = weights.iter().map(|w| Rule { weight: *w, ..Rule::default() }).collect();
     let rate = 200.0;
     let time = (parts as f64 / rate * 1e9) as Nanos;
-    let (_, sent) = play(&rules, rate, time, vec![], seed);
+    let (_, sent) = simulate(&rules, rate, time, vec![], seed);
     let total: f64 = weights.iter().sum();
-    let came = |n: usize| sent.iter().filter(|(_, a)| *a == addr(n)).count() as f64 / sent.len() as f64;
-    let shares: Vec<f64> = (0..weights.len()).map(came).collect();
-    let wanted: Vec<f64> = weights.iter().map(|w| w / total).collect();
-    let error = shares.iter().zip(&wanted).map(|(s, w)| (s - w).abs()).fold(0.0, f64::max);
-    let deviation = wanted.iter().map(|w| (w * (1.0 - w)).sqrt()).fold(0.0, f64::max);
+    let share_sent_to =
+        |n: usize| sent.iter().filter(|(_, a)| *a == addr(n)).count() as f64 / sent.len() as f64;
+    let shares: Vec<f64> = (0..weights.len()).map(share_sent_to).collect();
+    let expected: Vec<f64> = weights.iter().map(|w| w / total).collect();
+    let error = shares.iter().zip(&expected).map(|(s, w)| (s - w).abs()).fold(0.0, f64::max);
+    let deviation = expected.iter().map(|w| (w * (1.0 - w)).sqrt()).fold(0.0, f64::max);
     let bound = 3.0 * deviation / (sent.len() as f64).sqrt();
     Shares { parts: sent.len(), weights: weights.into(), shares, error, bound }
 }
 
-/// A set of two regular nodes and a spare: both regulars fail at 10 s and are back, cold, at 20 s.
+/// The results for two regular nodes and a spare: both regular nodes fail at 10 s and are back, cold, at 20
+/// s.
 #[derive(Clone, Debug, Serialize)]
 pub struct Failover {
-    /// Time from the failure to the first part at the spare, ms.
+    /// Time from the failure to the first part sent to the spare, ms.
     pub to_spare_ms: f64,
-    /// Time from the regulars' return to the last part at the spare, s.
+    /// Time from the return of the regular nodes to the last part sent to the spare, s.
     pub back_s: f64,
-    /// Queries that were not answered.
+    /// Number of queries that were not answered.
     pub unanswered: u64,
-    /// Regulars that fell over while cold.
+    /// Regular nodes that crashed from overload while cold.
     pub cold_falls: u64,
-    /// Parts that reached a node that is stopped.
+    /// Parts sent to the node that is administratively stopped.
     pub to_stopped: usize,
     /// For each second, the share of the parts that went to each node.
     pub seconds: Vec<Vec<f64>>,
@@ -186,7 +190,7 @@
     }
 }
 
-/// Plays it.
+/// Simulates a failover to the spare and back.
 pub fn failover(seed: u64) -> Failover {
     let rule = Rule { retry: 2 * S, ..Rule::default() };
     let rules = [
@@ -195,27 +199,27 @@
         Rule { spare: Spare::Hot, ..rule.clone() },
         Rule { admin_state: AdminState::Stopped, ..rule },
     ];
-    let (down, up) = (NOW + 10 * S, NOW + 20 * S);
+    let (fails_at, returns_at) = (START + 10 * S, START + 20 * S);
     let mut script = Vec::new();
     for n in [0, 1] {
-        script.push((down, addr(n), NodeBehavior::RefusesConnections));
-        script.push((up, addr(n), NodeBehavior::Serving));
+        script.push((fails_at, addr(n), NodeBehavior::RefusesConnections));
+        script.push((returns_at, addr(n), NodeBehavior::Serving));
     }
-    let (counts, sent) = play(&rules, 100.0, 60 * S, script, seed);
-    let at = |n: usize| sent.iter().filter(move |(_, a)| *a == addr(n)).map(|(t, _)| *t);
-    let first = at(2).find(|t| *t >= down).unwrap_or(NOW + 60 * S);
-    let last = at(2).max().unwrap_or(up).max(up);
+    let (counts, sent) = simulate(&rules, 100.0, 60 * S, script, seed);
+    let sent_to = |n: usize| sent.iter().filter(move |(_, a)| *a == addr(n)).map(|(t, _)| *t);
+    let first = sent_to(2).find(|t| *t >= fails_at).unwrap_or(START + 60 * S);
+    let last = sent_to(2).max().unwrap_or(returns_at).max(returns_at);
     let seconds = (0..60).map(|s| {
-        let here = |t: &Nanos| (NOW + s * S..NOW + (s + 1) * S).contains(t);
-        let all = sent.iter().filter(|(t, _)| here(t)).count().max(1) as f64;
-        (0..3).map(|n| at(n).filter(here).count() as f64 / all).collect()
+        let in_second = |t: &Nanos| (START + s * S..START + (s + 1) * S).contains(t);
+        let all = sent.iter().filter(|(t, _)| in_second(t)).count().max(1) as f64;
+        (0..3).map(|n| sent_to(n).filter(in_second).count() as f64 / all).collect()
     });
     Failover {
-        to_spare_ms: (first - down) as f64 / 1e6,
-        back_s: (last - up) as f64 / 1e9,
+        to_spare_ms: (first - fails_at) as f64 / 1e6,
+        back_s: (last - returns_at) as f64 / 1e9,
         unanswered: counts.refused + counts.failed,
         cold_falls: counts.cold_falls,
-        to_stopped: at(3).count(),
+        to_stopped: sent_to(3).count(),
         seconds: seconds.collect(),
     }
 }
