--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of what was measured.
+//! Plots of the measurements.
 
 use crate::cluster::measure::Spread;
 use crate::restart::{AGES, ARMS, Arm, Line};
@@ -7,10 +7,10 @@
 use std::error::Error;
 use std::path::Path;
 
-/// Draws service by the age of the list, a line for each arm.
+/// Plots the service over the age of the list, a line for each arm.
 pub fn restart(lines: &[Line], file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
     let area = SVGBackend::new(file, (800, 480)).into_drawing_area();
-    let fail = |e: String| -> Box<dyn Error + Send + Sync> { e.into() };
+    let boxed = |e: String| -> Box<dyn Error + Send + Sync> { e.into() };
     let draw = || -> Result<(), Box<dyn Error>> {
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
@@ -33,7 +33,7 @@
             .x_labels(AGES.len() + 1)
             .x_label_formatter(&name)
             .x_desc("age of the list")
-            .y_desc("worth answered in its aim over worth asked")
+            .y_desc("value answered in time / value requested")
             .draw()?;
         for (n, arm) in ARMS.iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
@@ -44,8 +44,8 @@
                 Arm::None => "no list",
                 Arm::Full => "full trust",
                 Arm::Weighed => "weighed trust",
-                Arm::Possible => "what still holds of the list",
-                Arm::Right => "a list that is right",
+                Arm::Possible => "the valid entries of the list",
+                Arm::Right => "an up-to-date list",
             };
             chart
                 .draw_series(LineSeries::new(points.clone(), colour.stroke_width(2)))?
@@ -61,11 +61,11 @@
         area.present()?;
         Ok(())
     };
-    draw().map_err(|e| fail(format!("{}: {e}", file.display())))
+    draw().map_err(|e| boxed(format!("{}: {e}", file.display())))
 }
 
-/// Draws the share of the parts that each node gets over a failover.
-pub fn failover(played: &Failover, file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
+/// Plots the share of the parts that each node receives during a failover.
+pub fn failover(measured: &Failover, file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
     let draw = || -> Result<(), Box<dyn Error>> {
         let area = SVGBackend::new(file, (800, 360)).into_drawing_area();
         area.fill(&WHITE)?;
@@ -74,11 +74,11 @@
             .margin(12)
             .x_label_area_size(40)
             .y_label_area_size(48)
-            .build_cartesian_2d(0f64..played.seconds.len() as f64, 0f64..1.02)?;
+            .build_cartesian_2d(0f64..measured.seconds.len() as f64, 0f64..1.02)?;
         chart.configure_mesh().x_desc("seconds").y_desc("share of the parts").draw()?;
         for (n, name) in ["regular 1", "regular 2", "hot spare"].iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
-            let points = played.seconds.iter().enumerate().map(|(s, shares)| (s as f64 + 0.5, shares[n]));
+            let points = measured.seconds.iter().enumerate().map(|(s, shares)| (s as f64 + 0.5, shares[n]));
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
                 .label(*name)
@@ -95,7 +95,8 @@
     draw().map_err(|e| format!("{}: {e}", file.display()).into())
 }
 
-/// Draws the share of brokers that know a word over time, a line for each size, at 5% loss.
+/// Plots the share of brokers that have received a command over time, a line for each cluster size, at 5%
+/// loss.
 pub fn spread(lines: &[Spread], file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
     let shown = |l: &&Spread| (l.loss - 0.05).abs() < 1e-9;
     let series = lines
@@ -106,9 +107,9 @@
     let longest = series.iter().flat_map(|(_, c)| c.last()).map(|p| p.0).fold(1.0, f64::max);
     let (x, y) = ((0.0, longest), (0.0, 1.05));
     chart(
-        "How a word by hand spreads, 5% of datagrams lost",
-        "ms since it was said",
-        "share of brokers that know it",
+        "Spread of an operator command, 5% of datagrams lost",
+        "ms since the command was issued",
+        "share of brokers that have it",
         &series,
         x,
         y,
@@ -116,7 +117,8 @@
     )
 }
 
-/// Draws bytes a broker sends for a word against the number of brokers, beside the plain way.
+/// Plots the bytes that a broker sends for one command over the number of brokers, for gossip and for a plain
+/// broadcast by the originating broker.
 pub fn spread_bytes(lines: &[Spread], file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
     let of = |loss: f64, y: fn(&Spread) -> f64| {
         lines
@@ -126,22 +128,24 @@
             .collect::<Vec<_>>()
     };
     let series = vec![
-        ("told on, no loss".to_owned(), of(0.0, |l| l.bytes)),
-        ("told on, 30% loss".to_owned(), of(0.3, |l| l.bytes)),
-        ("plain, by the first one, no loss".to_owned(), of(0.0, |l| l.plain_first)),
+        ("gossip, no loss".to_owned(), of(0.0, |l| l.bytes)),
+        ("gossip, 30% loss".to_owned(), of(0.3, |l| l.bytes)),
+        ("plain broadcast, by the originating broker, no loss".to_owned(), of(0.0, |l| l.plain_first)),
     ];
     let most = series[..2].iter().flat_map(|(_, s)| s).map(|p| p.1).fold(1.0, f64::max) * 2.0;
     let (x, y) = ((1.0, 9.0), (0.0, most));
-    chart("Bytes that a broker sends for one word", "brokers, log2", "bytes", &series, x, y, file)
+    chart("Bytes that a broker sends for one command", "brokers, log2", "bytes", &series, x, y, file)
 }
 
-type Line2 = (String, Vec<(f64, f64)>);
+/// The label and the points of a line.
+type Series = (String, Vec<(f64, f64)>);
 
+/// Plots lines over the given ranges of x and y into an SVG file.
 fn chart(
     caption: &str,
     x_desc: &str,
     y_desc: &str,
-    series: &[Line2],
+    series: &[Series],
     x: (f64, f64),
     y: (f64, f64),
     file: &Path,
