--- a/lab/benches/decide.rs
+++ b/lab/benches/decide.rs
@@ -1,4 +1,5 @@
-//! What one query costs the decisions, and what one piece of news costs membership, by the number of nodes.
+//! The cost of the decisions for one query, of membership for one discovery update, by the number of nodes,
+//! and of the metrics.
 //!
 //! Run with `cargo bench -p pebbleturn-lab`.
 
@@ -16,21 +17,21 @@
     divan::main();
 }
 
-/// One query of four parts, taken, sent and answered.
+/// One query of four parts: submitted, sent and answered.
 #[divan::bench(args = [4, 16, 64, 200, 1000])]
 fn query(bencher: Bencher, nodes: u32) {
     let mut settings = Scene { nodes, partitions: nodes.max(4), ..Scene::default() }.settings();
     settings.span = settings.span.min(nodes);
-    let mut balancer = Balancer::new(settings, 7, 0).expect("sound settings");
+    let mut balancer = Balancer::new(settings, 7, 0).expect("valid settings");
     let line = |n| {
-        let (replica, standing) = (ReplicaId(n), ReplicaState::Active);
-        ReplicaEntry { replica, zone: 0, cell: n, state: standing, started: None, weight: 1.0 }
+        let (replica, state) = (ReplicaId(n), ReplicaState::Active);
+        ReplicaEntry { replica, zone: 0, cell: n, state, started: None, weight: 1.0 }
     };
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     balancer.round(
         0,
         &[Event::EndpointList { full: true, entries: (0..nodes).map(line).collect() }],
-        &mut acts,
+        &mut actions,
     );
     let (mut job, mut now) = (0u64, 0);
     bencher.bench_local(|| {
@@ -55,10 +56,10 @@
             weight: 0.25,
         };
         let events: Vec<Event> = std::iter::once(head).chain((0..4).map(part)).collect();
-        acts.clear();
-        balancer.round(now, &events, &mut acts);
+        actions.clear();
+        balancer.round(now, &events, &mut actions);
         let mut attempts: HashMap<RequestId, u32> = HashMap::new();
-        let ends: Vec<Event> = acts
+        let attempt_ends: Vec<Event> = actions
             .iter()
             .filter_map(|a| match *a {
                 Action::Send { part, replica, .. } => {
@@ -76,37 +77,37 @@
                 _ => None,
             })
             .collect();
-        acts.clear();
-        balancer.round(now + 20 * MS, &ends, &mut acts);
-        divan::black_box(acts.len())
+        actions.clear();
+        balancer.round(now + 20 * MS, &attempt_ends, &mut actions);
+        divan::black_box(actions.len())
     });
 }
 
-/// What the figures add to one query: its end, and its attempts each written by itself.
-#[divan::bench(args = [4, 20, 73])]
-fn figures(bencher: Bencher, attempts: u32) {
-    let mut figures = Metrics::new(3);
+/// The cost of the metrics for one query: its result, and each of its attempts recorded separately.
+#[divan::bench(name = "figures", args = [4, 20, 73])]
+fn record_metrics(bencher: Bencher, attempts: u32) {
+    let mut metrics = Metrics::new(3);
     bencher.bench_local(|| {
         for _ in 0..attempts {
-            divan::black_box(&mut figures).record_attempts(1);
+            divan::black_box(&mut metrics).record_attempts(1);
         }
-        divan::black_box(&mut figures).record_query(1, QueryResult::Ok);
+        divan::black_box(&mut metrics).record_query(1, QueryResult::Ok);
     });
 }
 
-/// The figures as they are fetched, without the socket.
-#[divan::bench]
-fn figures_fetched(bencher: Bencher) {
-    let figures = Metrics::new(3);
+/// Formats the metrics as for a request, without the socket.
+#[divan::bench(name = "figures_fetched")]
+fn format_metrics(bencher: Bencher) {
+    let metrics = Metrics::new(3);
     let names: Vec<String> = ["catalogue", "lookup", "report"].map(String::from).into();
     let now = Gauges { active: 14, pool_size: 200, pool_ejected: 1 };
-    bencher.bench_local(|| divan::black_box(figures.to_json_line(&names, now).len()));
+    bencher.bench_local(|| divan::black_box(metrics.to_json_line(&names, now).len()));
 }
 
-/// One node that discovery tells anew.
-#[divan::bench(args = [16, 1000, 10_000])]
-fn news(bencher: Bencher, nodes: u32) {
-    let mut roster = Registry::new(RegistrySettings {
+/// One discovery update that changes one node.
+#[divan::bench(name = "news", args = [16, 1000, 10_000])]
+fn discovery_update(bencher: Bencher, nodes: u32) {
+    let mut registry = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: 16, span: 4 },
         warm_up: 14_000 * MS,
         mean_change_interval: 86_400_000 * MS,
@@ -126,17 +127,17 @@
         started_ms,
     };
     let list = |version, full, servers| EndpointList { version, full, as_of_ms: None, servers };
-    roster.on_discovery_update(&list(1, true, (0..nodes).map(|n| line(n, 0)).collect()), true, 1);
-    roster.take_changes();
+    registry.on_discovery_update(&list(1, true, (0..nodes).map(|n| line(n, 0)).collect()), true, 1);
+    registry.take_changes();
     let mut version = 1;
     bencher.bench_local(|| {
         version += 1;
         let now = version * 100 * MS;
-        roster.on_discovery_update(
+        registry.on_discovery_update(
             &list(version, false, vec![line(version as u32 % nodes, now / MS)]),
             false,
             now,
         );
-        divan::black_box(roster.take_changes().map(|c| c.len()))
+        divan::black_box(registry.take_changes().map(|c| c.len()))
     });
 }
