--- a/lab/benches/decide.rs
+++ b/lab/benches/decide.rs
@@ -7,7 +7,7 @@
 use pebbleturn::membership::{NodeState, PartitionLayout, Registry, RegistrySettings};
 use pebbleturn::metrics::{Gauges, Metrics, QueryResult};
 use pebbleturn::{Action, Balancer, Event, Nanos, Outcome, ReplicaEntry, ReplicaId, ReplicaState, RequestId};
-use pebbleturn_lab::restart::Scene;
+use pebbleturn_lab::restart::Scenario;
 use std::collections::HashMap;
 
 const MS: Nanos = 1_000_000;
@@ -19,7 +19,7 @@
 /// One query of four parts, taken, sent and answered.
 #[divan::bench(args = [4, 16, 64, 200, 1000])]
 fn query(bencher: Bencher, nodes: u32) {
-    let mut settings = Scene { nodes, partitions: nodes.max(4), ..Scene::default() }.settings();
+    let mut settings = Scenario { nodes, partitions: nodes.max(4), ..Scenario::default() }.settings();
     settings.span = settings.span.min(nodes);
     let mut balancer = Balancer::new(settings, 7, 0).expect("sound settings");
     let line = |n| {
--- a/lab/src/cluster/bed.rs
+++ b/lab/src/cluster/bed.rs
@@ -3,9 +3,9 @@
 
 use super::links::{Fault, Links};
 use super::logged_commands::LoggedCommands;
-use crate::demo::by_sru;
-use crate::running::{HANG, Process, until};
-use crate::standins::{Script, Wire, node};
+use crate::demo::search_over_sru;
+use crate::running::{HANG_TIMEOUT, Process, until};
+use crate::standins::{NodeScript, WireProtocol, node};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, TcpListener};
@@ -65,7 +65,7 @@
 /// The bed.
 pub struct Bed {
     program: PathBuf,
-    pub script: Script,
+    pub script: NodeScript,
     nodes: Vec<SocketAddr>,
     brokers: Vec<Broker>,
     pub links: Links,
@@ -102,8 +102,8 @@
 impl Bed {
     /// So many brokers that all list each other; none is started.
     pub fn new(program: impl AsRef<Path>, brokers: usize, seed: u64) -> Bed {
-        let script = Script::default();
-        let nodes: Vec<SocketAddr> = (0..3).map(|n| node(Wire::Sru, n, script.clone())).collect();
+        let script = NodeScript::default();
+        let nodes: Vec<SocketAddr> = (0..3).map(|n| node(WireProtocol::Sru, n, script.clone())).collect();
         let mut own = Own::new();
         let broker = |n: usize| Broker {
             told: Told {
@@ -216,7 +216,7 @@
         command.args(["--log-format", "json", "--clock-off", &self.brokers[n].told.clock_off.to_string()]);
         command.args(["serve", "catalogue"]).arg(self.file(n));
         let process = Process::spawn(&mut command, self.brokers[n].ops);
-        until("it answers calls", || process.call("STATUS").starts_with("SUCCESS"));
+        until("it answers calls", || process.admin_request("STATUS").starts_with("SUCCESS"));
         if let Some(old) = self.brokers[n].process.replace(process) {
             self.brokers[n].old.push(old);
         }
@@ -225,8 +225,8 @@
     /// Waits until the processes before the present one have ended by themselves.
     pub fn old_ones_end(&mut self, n: usize) {
         for mut old in std::mem::take(&mut self.brokers[n].old) {
-            old.ends();
-            self.brokers[n].history.extend(old.lines());
+            old.wait_for_exit();
+            self.brokers[n].history.extend(old.log_lines());
         }
     }
 
@@ -273,7 +273,7 @@
     pub fn kill(&mut self, n: usize) {
         if let Some(mut process) = self.brokers[n].process.take() {
             process.kill();
-            self.brokers[n].history.extend(process.lines());
+            self.brokers[n].history.extend(process.log_lines());
         }
     }
 
@@ -306,7 +306,7 @@
 
     /// One call.
     pub fn call(&self, n: usize, line: &str) -> String {
-        self.process(n).call(line)
+        self.process(n).admin_request(line)
     }
 
     /// A word by hand; what is answered with SUCCESS counts as promised.
@@ -404,7 +404,7 @@
             if all.iter().all(|(d, sound)| *sound && *d == all[0].0) {
                 return all[0].0.clone();
             }
-            assert!(begun.elapsed() < HANG, "copies never were equal: {}", self.states());
+            assert!(begun.elapsed() < HANG_TIMEOUT, "copies never were equal: {}", self.states());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -424,7 +424,7 @@
     /// All lines that a broker has written.
     pub fn lines(&self, n: usize) -> Vec<String> {
         let mut lines = self.brokers[n].history.clone();
-        lines.extend(self.brokers[n].process.iter().flat_map(Process::lines));
+        lines.extend(self.brokers[n].process.iter().flat_map(Process::log_lines));
         lines
     }
 
@@ -492,7 +492,7 @@
             let (stop, served, wrong) = (stop.clone(), served.clone(), wrong.clone());
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
-                    let whole = by_sru(at).is_ok_and(|a| a.starts_with("HTTP/1.1 200"));
+                    let whole = search_over_sru(at).is_ok_and(|a| a.starts_with("HTTP/1.1 200"));
                     if whole { &served } else { &wrong }.fetch_add(1, Ordering::Relaxed);
                     std::thread::sleep(Duration::from_millis(5));
                 }
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -1,6 +1,6 @@
 //! A newcomer's first look: stand-in nodes, a broker, one search over each of the catalogue's protocols.
 
-use crate::standins::{Script, Wire, node, read_apdu, read_http};
+use crate::standins::{NodeScript, WireProtocol, node, read_apdu, read_http};
 use pebbleturn::config::OperatorConfig;
 use pebbleturn::frontends::catalogue::apdu::*;
 use pebbleturn::frontends::catalogue::marc::Record;
@@ -10,8 +10,8 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 
-/// The operator's file of the demonstration, with these nodes.
-pub fn operator(nodes: &[(SocketAddr, Wire)]) -> String {
+/// The operator's configuration file of the demonstration, with these nodes.
+pub fn operator_file(nodes: &[(SocketAddr, WireProtocol)]) -> String {
     let mut text = String::from(
         "name = \"demo\"\nzone = \"here\"\n[partitions]\ncount = 3\ncells = 3\nholders = 2\n\
          database = \"part-{partition}\"\n[[class]]\nname = \"lookup\"\naim_ms = 2000\ndeadline_ms = 4000\n\
@@ -20,7 +20,7 @@
          [[listener]]\nprotocol = \"z3950\"\nlisten = \"127.0.0.1:0\"\n",
     );
     for (n, (addr, wire)) in nodes.iter().enumerate() {
-        let protocol = if *wire == Wire::Sru { "sru" } else { "z3950" };
+        let protocol = if *wire == WireProtocol::Sru { "sru" } else { "z3950" };
         text += &format!(
             "[[node]]\nid = \"node-{n}\"\nprotocol = \"{protocol}\"\naddress = \"{addr}\"\nzone = \"here\"\ncell = {n}\n"
         );
@@ -30,29 +30,29 @@
 
 /// Runs it, and prints what a client sees.
 pub fn run() -> Result<(), Box<dyn Error + Send + Sync>> {
-    let script = Script::default();
-    let wires = [Wire::Sru, Wire::Z3950, Wire::Sru];
-    let nodes: Vec<(SocketAddr, Wire)> =
+    let script = NodeScript::default();
+    let wires = [WireProtocol::Sru, WireProtocol::Z3950, WireProtocol::Sru];
+    let nodes: Vec<(SocketAddr, WireProtocol)> =
         wires.iter().enumerate().map(|(n, w)| (node(*w, n, script.clone()), *w)).collect();
     println!("three stand-in nodes: {nodes:?}");
-    let operator = OperatorConfig::read(&operator(&nodes))?;
-    let (tell, told) = std::sync::mpsc::channel();
+    let operator = OperatorConfig::read(&operator_file(&nodes))?;
+    let (sender, receiver) = std::sync::mpsc::channel();
     let broker = std::thread::spawn(move || -> Result<(), pebbleturn::server::BrokerError> {
         let (mut broker, addrs) = catalogue::broker(operator)?;
-        let _ = tell.send((addrs, broker.shutdown_handle()?));
+        let _ = sender.send((addrs, broker.shutdown_handle()?));
         broker.run()
     });
-    let (addrs, stopper) = told.recv()?;
+    let (addrs, shutdown_handle) = receiver.recv()?;
     println!("a broker: SRU at {}, Z39.50 at {}\n", addrs[0], addrs[1]);
-    println!("SRU: GET /scores?query=dc.title=raga\n{}\n", by_sru(addrs[0])?);
-    println!("Z39.50: Search \"raga\" on attribute 4, then Present\n{}", by_z3950(addrs[1])?);
-    stopper.wake()?;
-    broker.join().map_err(|_| "the broker's thread is lost")??;
+    println!("SRU: GET /scores?query=dc.title=raga\n{}\n", search_over_sru(addrs[0])?);
+    println!("Z39.50: Search \"raga\" on attribute 4, then Present\n{}", search_over_z3950(addrs[1])?);
+    shutdown_handle.wake()?;
+    broker.join().map_err(|_| "the broker's thread panicked")??;
     Ok(())
 }
 
-/// The body of the answer to a search.
-pub fn by_sru(addr: SocketAddr) -> Result<String, Box<dyn Error + Send + Sync>> {
+/// Status line and body of the response to a search.
+pub fn search_over_sru(addr: SocketAddr) -> Result<String, Box<dyn Error + Send + Sync>> {
     let mut stream = TcpStream::connect(addr)?;
     let target = "/scores?version=1.1&operation=searchRetrieve&maximumRecords=9&query=dc.title%3Draga";
     write!(stream, "GET {target} HTTP/1.1\r\nHost: demo\r\n\r\n")?;
@@ -61,8 +61,8 @@
     Ok(format!("{status}\n{body}"))
 }
 
-/// What begins a session.
-pub fn init() -> Apdu {
+/// The request that opens a session.
+pub fn init_request() -> Apdu {
     Apdu::InitRequest(InitRequest {
         reference: None,
         versions: VERSIONS.into(),
@@ -72,8 +72,8 @@
     })
 }
 
-/// A search of the database `scores` that brings no records yet.
-pub fn search() -> Apdu {
+/// A search of the database `scores` whose response contains no records.
+pub fn search_request() -> Apdu {
     Apdu::SearchRequest(SearchRequest {
         reference: None,
         small_upper: 0,
@@ -88,15 +88,15 @@
     })
 }
 
-/// The records of a search, a line each.
-pub fn by_z3950(addr: SocketAddr) -> Result<String, Box<dyn Error + Send + Sync>> {
+/// The number of hits of a search, and a line for each record.
+pub fn search_over_z3950(addr: SocketAddr) -> Result<String, Box<dyn Error + Send + Sync>> {
     let mut stream = TcpStream::connect(addr)?;
-    let mut ask = |apdu: Apdu| -> Result<Apdu, Box<dyn Error + Send + Sync>> {
+    let mut exchange = |apdu: Apdu| -> Result<Apdu, Box<dyn Error + Send + Sync>> {
         stream.write_all(&apdu.encode())?;
         read_apdu(&mut stream).ok_or_else(|| "no answer over Z39.50".into())
     };
-    ask(init())?;
-    let Apdu::SearchResponse(found) = ask(search())? else {
+    exchange(init_request())?;
+    let Apdu::SearchResponse(found) = exchange(search_request())? else {
         return Err("no SearchResponse".into());
     };
     let present = PresentRequest {
@@ -109,7 +109,7 @@
         complex: false,
     };
     let Apdu::PresentResponse(PresentResponse { records: Records::Some(records), .. }) =
-        ask(Apdu::PresentRequest(present))?
+        exchange(Apdu::PresentRequest(present))?
     else {
         return Err("no records".into());
     };
--- a/lab/src/directory.rs
+++ b/lab/src/directory.rs
@@ -27,14 +27,14 @@
 }
 
 #[derive(Default)]
-struct Held {
+struct State {
     mode: Mode,
     version: u64,
     nodes: BTreeMap<String, Endpoint>,
     /// Each change with the version that it made.
     changes: Vec<(u64, Endpoint)>,
-    first: Option<EndpointList>,
-    asked: Vec<Instant>,
+    first_list: Option<EndpointList>,
+    call_times: Vec<Instant>,
 }
 
 /// Discovery, on a port of its own.
@@ -42,11 +42,11 @@
 pub struct Directory {
     /// Where it is.
     pub addr: SocketAddr,
-    held: Arc<Mutex<Held>>,
+    state: Arc<Mutex<State>>,
 }
 
-/// A line of the list.
-pub fn line(id: &str, addr: SocketAddr, kind: &str, cell: u32, state: NodeState) -> Endpoint {
+/// An endpoint for the list.
+pub fn endpoint(id: &str, addr: SocketAddr, kind: &str, cell: u32, state: NodeState) -> Endpoint {
     Endpoint {
         id: id.into(),
         addr: addr.to_string(),
@@ -61,81 +61,81 @@
 impl Directory {
     /// Discovery that tells this list, from version 1 on.
     pub fn start(nodes: Vec<Endpoint>) -> Directory {
-        let held = Arc::new(Mutex::new(Held::default()));
-        let serving = held.clone();
-        let addr = listen(move |stream| serve(stream, &serving));
-        let directory = Directory { addr, held };
-        directory.count_anew(nodes);
+        let state = Arc::new(Mutex::new(State::default()));
+        let served_state = state.clone();
+        let addr = listen(move |stream| serve(stream, &served_state));
+        let directory = Directory { addr, state };
+        directory.restart_with(nodes);
         directory
     }
 
-    fn locked<T>(&self, what: impl FnOnce(&mut Held) -> T) -> T {
-        what(&mut self.held.lock().unwrap())
+    fn with_state<T>(&self, action: impl FnOnce(&mut State) -> T) -> T {
+        action(&mut self.state.lock().unwrap())
     }
 
-    /// Answers so from now on.
-    pub fn mode(&self, mode: Mode) {
-        self.locked(|h| h.mode = mode);
+    pub fn set_mode(&self, mode: Mode) {
+        self.with_state(|s| s.mode = mode);
     }
 
-    /// One change, told to all who watch.
-    pub fn change(&self, line: Endpoint) {
-        self.locked(|h| {
-            h.version += 1;
-            h.changes.push((h.version, line.clone()));
-            match line.state {
-                NodeState::Gone => h.nodes.remove(&line.id),
-                _ => h.nodes.insert(line.id.clone(), line),
+    /// Adds, replaces or removes one endpoint, and reports the change to all watches.
+    pub fn change(&self, endpoint: Endpoint) {
+        self.with_state(|s| {
+            s.version += 1;
+            s.changes.push((s.version, endpoint.clone()));
+            match endpoint.state {
+                NodeState::Gone => s.nodes.remove(&endpoint.id),
+                _ => s.nodes.insert(endpoint.id.clone(), endpoint),
             };
         });
     }
 
-    /// Restarts with this list and counts from 1 again.
-    pub fn count_anew(&self, nodes: Vec<Endpoint>) {
-        self.locked(|h| {
-            h.version = 1;
-            h.changes.clear();
-            h.nodes = nodes.into_iter().map(|n| (n.id.clone(), n)).collect();
-            h.first.get_or_insert_with(|| whole(1, &h.nodes));
+    /// Restarts with this list; its version is 1 again.
+    pub fn restart_with(&self, nodes: Vec<Endpoint>) {
+        self.with_state(|s| {
+            s.version = 1;
+            s.changes.clear();
+            s.nodes = nodes.into_iter().map(|n| (n.id.clone(), n)).collect();
+            s.first_list.get_or_insert_with(|| full_list(1, &s.nodes));
         });
     }
 
-    /// When calls came.
-    pub fn asked(&self) -> Vec<Instant> {
-        self.locked(|h| h.asked.clone())
+    /// When each call was received.
+    pub fn call_times(&self) -> Vec<Instant> {
+        self.with_state(|s| s.call_times.clone())
     }
 }
 
-fn whole(version: u64, nodes: &BTreeMap<String, Endpoint>) -> EndpointList {
+fn full_list(version: u64, nodes: &BTreeMap<String, Endpoint>) -> EndpointList {
     EndpointList { version, full: true, as_of_ms: None, servers: nodes.values().cloned().collect() }
 }
 
-/// What is to be told to one who has version `since`; `fresh`: who may need the whole list.
-fn news(held: &Held, since: u64, fresh: bool) -> Option<EndpointList> {
-    if held.mode == Mode::Stale {
-        return held.first.clone().filter(|_| fresh);
+/// The list to send to a watch that has version `since`, if any. A new watch receives the full list if the
+/// changes since that version are not known.
+fn update_since(state: &State, since: u64, is_new_watch: bool) -> Option<EndpointList> {
+    if state.mode == Mode::Stale {
+        return state.first_list.clone().filter(|_| is_new_watch);
     }
-    if fresh
-        && (since == 0 || since > held.version || held.changes.first().is_none_or(|(v, _)| *v > since + 1))
+    if is_new_watch
+        && (since == 0 || since > state.version || state.changes.first().is_none_or(|(v, _)| *v > since + 1))
     {
-        return Some(whole(held.version, &held.nodes));
+        return Some(full_list(state.version, &state.nodes));
     }
     let servers: Vec<Endpoint> =
-        held.changes.iter().filter(|(v, _)| *v > since).map(|(_, line)| line.clone()).collect();
-    let told = EndpointList { version: held.version, full: false, as_of_ms: None, servers };
-    (fresh || held.version > since).then_some(told)
+        state.changes.iter().filter(|(v, _)| *v > since).map(|(_, endpoint)| endpoint.clone()).collect();
+    let update = EndpointList { version: state.version, full: false, as_of_ms: None, servers };
+    (is_new_watch || state.version > since).then_some(update)
 }
 
-fn serve(mut stream: TcpStream, held: &Mutex<Held>) -> Option<()> {
-    if held.lock().ok()?.mode == Mode::Down {
+fn serve(mut stream: TcpStream, state: &Mutex<State>) -> Option<()> {
+    if state.lock().ok()?.mode == Mode::Down {
         return None;
     }
     let (head, _) = read_http(&mut stream)?;
     let mut since: u64 = head.split("since=").nth(1)?.split(' ').next()?.parse().ok()?;
     let mode = {
-        let mut held = held.lock().ok()?;
-        held.asked.push(Instant::now());
-        held.mode
+        let mut state = state.lock().ok()?;
+        state.call_times.push(Instant::now());
+        state.mode
     };
     match mode {
         Mode::Refusing => {
@@ -146,28 +146,28 @@
     }
     write!(stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
     let mut chunk = |text: &str| write!(stream, "{:x}\r\n{text}\r\n", text.len()).ok();
-    let (mut fresh, mut told) = (true, Instant::now());
+    let (mut is_new_watch, mut last_sent) = (true, Instant::now());
     loop {
         let list = {
-            let held = held.lock().ok()?;
-            if held.mode == Mode::Down {
+            let state = state.lock().ok()?;
+            if state.mode == Mode::Down {
                 return None;
             }
-            // One that counts anew ends the watches it had.
-            if !fresh && held.version < since && held.mode != Mode::Stale {
+            // After a restart of the version numbers the open watches end.
+            if !is_new_watch && state.version < since && state.mode != Mode::Stale {
                 return None;
             }
-            news(&held, since, fresh)
+            update_since(&state, since, is_new_watch)
         };
         if let Some(list) = list {
             since = list.version;
             chunk(&format!("{}\n", serde_json::to_string(&list).ok()?))?;
-            told = Instant::now();
-        } else if told.elapsed() > Duration::from_secs(1) {
+            last_sent = Instant::now();
+        } else if last_sent.elapsed() > Duration::from_secs(1) {
             chunk("\n")?;
-            told = Instant::now();
+            last_sent = Instant::now();
         }
-        fresh = false;
+        is_new_watch = false;
         std::thread::sleep(Duration::from_millis(10));
     }
 }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Hundreds of brokers before hundreds of nodes in simulated time: what all of them do together in troubles that each
 //! one alone would hardly notice.
 
-use crate::restart::Scene;
+use crate::restart::Scenario;
 use crate::sim::{Counts, Listing, Manner, Node, NodeModel, Strain, World, WorldSettings, uniform};
 use pebbleturn::membership::endpoint_list::{Endpoint, EndpointList};
 use pebbleturn::membership::{NodeState, PartitionLayout, Registry, RegistrySettings};
@@ -151,11 +151,11 @@
 impl Fleet {
     /// The brokers' settings: the users' classes with a quarter of their times.
     pub fn settings(&self) -> Settings {
-        let scene = Scene {
+        let scene = Scenario {
             nodes: self.nodes,
             brokers: self.brokers,
             partitions: 2 * self.nodes,
-            ..Scene::default()
+            ..Scenario::default()
         };
         let mut settings = scene.settings();
         for class in &mut settings.classes {
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -5,7 +5,7 @@
 use pebbleturn_lab::cluster::measure::{self, Spread};
 use pebbleturn_lab::fleet::{Fleet, TROUBLES};
 use pebbleturn_lab::herd::{CAUSES, Herd};
-use pebbleturn_lab::restart::{AGES, ARMS, Line, Scene};
+use pebbleturn_lab::restart::{AGES, ARMS, RestartResult, Scenario};
 use pebbleturn_lab::{demo, operation, plot, routing, sockets};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -20,8 +20,8 @@
 
 /// What every measurement is told.
 #[derive(Clone, Copy, Debug, Args)]
-struct Told {
-    /// For all that is drawn.
+struct CommonArgs {
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// JSON lines instead of text.
@@ -36,15 +36,15 @@
     /// Shares of the work against weights, and a set that fails over to its spare and back; in simulated time.
     Routing {
         #[command(flatten)]
-        told: Told,
-        /// Draw the shares over the failover.
+        common: CommonArgs,
+        /// Plot the shares during the failover.
         #[arg(long, value_name = "FILE.svg")]
         plot: Option<PathBuf>,
     },
     /// Troubles of a large fleet: what all brokers do together; in simulated time.
     Fleet {
         #[command(flatten)]
-        told: Told,
+        common: CommonArgs,
         /// Brokers.
         #[arg(long, default_value_t = Fleet::default().brokers)]
         brokers: usize,
@@ -76,7 +76,7 @@
     /// Many brokers before one slow discovery: how their calls are spread; in simulated time.
     Herd {
         #[command(flatten)]
-        told: Told,
+        common: CommonArgs,
         /// Brokers.
         #[arg(long, default_value_t = 300)]
         brokers: usize,
@@ -87,8 +87,8 @@
     /// Brokers that know each other: how a word spreads, what it costs, false deaths, catching up; in simulated time.
     Cluster {
         #[command(flatten)]
-        told: Told,
-        /// Plays of each.
+        common: CommonArgs,
+        /// Runs of each measurement.
         #[arg(long, default_value_t = 3)]
         plays: u64,
         /// Draw how a word spreads over time, and bytes against brokers, into this directory.
@@ -101,27 +101,27 @@
     /// Restart all brokers without discovery, with lists of several ages; in simulated time.
     Restart {
         #[command(flatten)]
-        told: Told,
-        /// Draw the service by age and arm.
+        common: CommonArgs,
+        /// Plot the service by age and arm.
         #[arg(long, value_name = "FILE.svg")]
         plot: Option<PathBuf>,
-        /// Worlds that are drawn for each age.
-        #[arg(long, default_value_t = Scene::default().worlds)]
+        /// Random worlds simulated for each age.
+        #[arg(long, default_value_t = Scenario::default().worlds)]
         worlds: u64,
         /// Nodes.
-        #[arg(long, default_value_t = Scene::default().nodes)]
+        #[arg(long, default_value_t = Scenario::default().nodes)]
         nodes: u32,
         /// Queries a second, all brokers together.
-        #[arg(long, default_value_t = Scene::default().rate)]
+        #[arg(long, default_value_t = Scenario::default().rate)]
         rate: f64,
         /// Mean time between two changes of a node, hours.
         #[arg(long, default_value_t = 24.0)]
         changes_every: f64,
         /// Share of the changes that are restarts in place.
-        #[arg(long, default_value_t = Scene::default().restarts)]
+        #[arg(long, default_value_t = Scenario::default().restarts)]
         restarts: f64,
-        /// Of those, the share that come with the brokers' own restart.
-        #[arg(long, default_value_t = Scene::default().together)]
+        /// Of those, the share that happen together with the brokers' restart.
+        #[arg(long, default_value_t = Scenario::default().together)]
         together: f64,
         /// One short run on real sockets instead: brokers, stand-in nodes and files, for some seconds.
         #[arg(long)]
@@ -130,12 +130,12 @@
 }
 
 fn main() -> ExitCode {
-    let ran = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Demo => demo::run(),
-        Command::Routing { told, plot } => routed(told, plot),
-        Command::Fleet { told, brokers, nodes, rate, parts, seconds } => {
+        Command::Routing { common, plot } => run_routing(common, plot),
+        Command::Fleet { common, brokers, nodes, rate, parts, seconds } => {
             let time = seconds * 1_000_000_000;
-            fleet(&Fleet { brokers, nodes, rate, parts, time, ..Fleet::default() }, told)
+            fleet(&Fleet { brokers, nodes, rate, parts, time, ..Fleet::default() }, common)
         }
         Command::Operation { program, upgrades, json } => {
             let measured = operation::measure(&program, upgrades);
@@ -146,21 +146,32 @@
             }
             Ok(())
         }
-        Command::Cluster { told, program: Some(program), .. } => {
+        Command::Cluster { common, program: Some(program), .. } => {
             for cost in measure::cost(&program, 8) {
-                if told.json { println!("{}", serde_json::json!(cost)) } else { println!("{cost}") }
+                if common.json { println!("{}", serde_json::json!(cost)) } else { println!("{cost}") }
             }
             Ok(())
         }
-        Command::Cluster { told, plays, plot, program: None } => cluster(plays, told, plot),
-        Command::Herd { told, brokers, capacity } => herd(Herd { brokers, capacity }, told),
-        Command::Restart { told, plot, worlds, nodes, rate, changes_every, restarts, together, sockets } => {
+        Command::Cluster { common, plays, plot, program: None } => cluster(plays, common, plot),
+        Command::Herd { common, brokers, capacity } => herd(Herd { brokers, capacity }, common),
+        Command::Restart {
+            common,
+            plot,
+            worlds,
+            nodes,
+            rate,
+            changes_every,
+            restarts,
+            together,
+            sockets,
+        } => {
             let changes_every = (changes_every * 3_600e9) as u64;
-            let scene = Scene { worlds, nodes, rate, changes_every, restarts, together, ..Scene::default() };
-            if sockets { sockets::restart(told.json) } else { restart(&scene, told, plot) }
+            let scenario =
+                Scenario { worlds, nodes, rate, changes_every, restarts, together, ..Scenario::default() };
+            if sockets { sockets::restart(common.json) } else { restart(&scenario, common, plot) }
         }
     };
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{e}");
@@ -170,17 +181,17 @@
 }
 
 fn restart(
-    scene: &Scene,
-    Told { seed, json }: Told,
+    scenario: &Scenario,
+    CommonArgs { seed, json }: CommonArgs,
     plot: Option<PathBuf>,
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
-    let mut lines: Vec<Line> = Vec::new();
+    let mut lines: Vec<RestartResult> = Vec::new();
     if !json {
-        println!("{}", Line::HEAD);
+        println!("{}", RestartResult::TABLE_HEADER);
     }
     for (age, _) in AGES {
         for arm in ARMS {
-            let line = scene.measure(age, arm, seed);
+            let line = scenario.measure(age, arm, seed);
             if json {
                 println!("{}", serde_json::to_string(&line)?);
             } else {
@@ -195,7 +206,10 @@
     }
 }
 
-fn fleet(fleet: &Fleet, Told { seed, json }: Told) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+fn fleet(
+    fleet: &Fleet,
+    CommonArgs { seed, json }: CommonArgs,
+) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     for trouble in TROUBLES {
         let played = fleet.play(trouble, seed);
         if json { println!("{}", serde_json::to_string(&played)?) } else { println!("{played}") }
@@ -205,7 +219,7 @@
 
 fn cluster(
     plays: u64,
-    Told { seed, json }: Told,
+    CommonArgs { seed, json }: CommonArgs,
     plot: Option<PathBuf>,
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     let mut lines = Vec::new();
@@ -240,7 +254,10 @@
     }
 }
 
-fn herd(herd: Herd, Told { seed, json }: Told) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
+fn herd(
+    herd: Herd,
+    CommonArgs { seed, json }: CommonArgs,
+) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     for cause in CAUSES {
         let asked = herd.play(cause, seed);
         if json { println!("{}", serde_json::to_string(&asked)?) } else { println!("{asked}") }
@@ -248,8 +265,8 @@
     Ok(())
 }
 
-fn routed(
-    Told { seed, json }: Told,
+fn run_routing(
+    CommonArgs { seed, json }: CommonArgs,
     plot: Option<PathBuf>,
 ) -> Result<(), Box<dyn std::error::Error + Send + Sync>> {
     for parts in [1_000, 10_000, 100_000] {
--- a/lab/src/operation.rs
+++ b/lab/src/operation.rs
@@ -76,11 +76,11 @@
     }
 }
 
-fn calls(process: &Process) -> Times {
+fn response_times(process: &Process) -> Times {
     let mut times: Vec<f64> = Vec::with_capacity(CALLS);
     for n in 0..CALLS {
         let start = Instant::now();
-        process.says_yes_or_figures(if n % 2 == 0 { "STATUS" } else { "METRICS" });
+        process.expect_success_or_metrics(if n % 2 == 0 { "STATUS" } else { "METRICS" });
         times.push(start.elapsed().as_secs_f64() * 1e3);
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -88,21 +88,21 @@
     Times { median: times[CALLS / 2], highest: times[CALLS - 1] }
 }
 
-/// Processor time of a query at this process, us.
-fn cpu(site: &Site, process: &Process, fetched: bool) -> f64 {
+/// CPU time of a query at this process, us; with or without regular requests for its metrics.
+fn cpu_per_query(site: &Site, process: &Process, fetches_metrics: bool) -> f64 {
     let load = Load::start(site, CLIENTS);
-    load.more(QUERIES / 10);
+    load.wait_for_more(QUERIES / 10);
     let (ticks, from) = (process.cpu_ticks(), load.served());
     until("the round's queries are served", || {
-        if fetched {
-            process.says_yes_or_figures("METRICS");
+        if fetches_metrics {
+            process.expect_success_or_metrics("METRICS");
         }
         std::thread::sleep(Duration::from_millis(100));
         load.served() >= from + QUERIES
     });
     let used = (process.cpu_ticks() - ticks) as f64 * 1e4;
     let per_query = used / (load.served() - from) as f64;
-    load.end();
+    load.stop();
     per_query
 }
 
@@ -115,28 +115,29 @@
 pub fn measure(program: &Path, upgrades: usize) -> Measured {
     let site = Site::new(program);
     let mut process = site.start();
-    let idle = calls(&process);
+    let idle = response_times(&process);
     let load = Load::start(&site, CLIENTS);
-    load.more(1000);
-    let loaded = calls(&process);
-    let callers: Vec<TcpStream> = (0..1000).filter_map(|_| TcpStream::connect(process.ops).ok()).collect();
-    let crowded = calls(&process);
+    load.wait_for_more(1000);
+    let loaded = response_times(&process);
+    let callers: Vec<TcpStream> =
+        (0..1000).filter_map(|_| TcpStream::connect(process.admin_addr).ok()).collect();
+    let crowded = response_times(&process);
     drop(callers);
     let (before, refused) = (load.served(), load.refused());
     for _ in 0..upgrades {
         let new = site.start();
-        process.ends();
-        load.more(100);
+        process.wait_for_exit();
+        load.wait_for_more(100);
         process = new;
     }
     let (served, refused) = (load.served() - before, load.refused() - refused);
-    let at_the_door = load.end();
+    let at_the_door = load.stop();
     drop(process);
     let mut cpu_of = [const { Vec::new() }; 4];
     for _ in 0..ROUNDS {
-        for (kind, figures) in cpu_of.iter_mut().enumerate() {
+        for (kind, rounds) in cpu_of.iter_mut().enumerate() {
             let site = Site::new(program);
-            figures.push(cpu(&site, &site.start_with(kind > 0, kind > 2), kind > 1));
+            rounds.push(cpu_per_query(&site, &site.start_with_options(kind > 0, kind > 2), kind > 1));
         }
     }
     let [cpu_plain, cpu_address, cpu_figures, cpu_all] = cpu_of.map(median);
--- a/lab/src/plot.rs
+++ b/lab/src/plot.rs
@@ -1,14 +1,14 @@
 //! Plots of what was measured.
 
 use crate::cluster::measure::Spread;
-use crate::restart::{AGES, ARMS, Arm, Line};
+use crate::restart::{AGES, ARMS, Arm, RestartResult};
 use crate::routing::Failover;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
 /// Draws service by the age of the list, a line for each arm.
-pub fn restart(lines: &[Line], file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
+pub fn restart(lines: &[RestartResult], file: &Path) -> Result<(), Box<dyn Error + Send + Sync>> {
     let area = SVGBackend::new(file, (800, 480)).into_drawing_area();
     let fail = |e: String| -> Box<dyn Error + Send + Sync> { e.into() };
     let draw = || -> Result<(), Box<dyn Error>> {
@@ -37,8 +37,9 @@
             .draw()?;
         for (n, arm) in ARMS.iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
-            let place =
-                |l: &Line| AGES.iter().position(|(a, _)| *a == l.age_s).map(|x| (x as f64, l.service));
+            let place = |l: &RestartResult| {
+                AGES.iter().position(|(a, _)| *a == l.age_s).map(|x| (x as f64, l.service))
+            };
             let points: Vec<(f64, f64)> = lines.iter().filter(|l| l.arm == *arm).filter_map(place).collect();
             let label = match arm {
                 Arm::None => "no list",
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -42,7 +42,7 @@
 
 /// What was measured for one age and arm.
 #[derive(Clone, Debug, Serialize)]
-pub struct Line {
+pub struct RestartResult {
     /// Age of the list, seconds.
     pub age_s: u64,
     /// What the brokers knew.
@@ -59,12 +59,11 @@
     pub lost: u64,
 }
 
-impl Line {
-    /// What stands above the lines of a table.
-    pub const HEAD: &str = "  age_s      arm  service  p99_ms  late drains  cold falls  lost";
+impl RestartResult {
+    pub const TABLE_HEADER: &str = "  age_s      arm  service  p99_ms  late drains  cold falls  lost";
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for RestartResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let arm = format!("{:?}", self.arm).to_lowercase();
         write!(
@@ -77,7 +76,7 @@
 
 /// What the fleet is like and how it changes.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     /// Nodes, and brokers.
     pub nodes: u32,
     /// See `nodes`.
@@ -96,9 +95,9 @@
     pub worlds: u64,
 }
 
-impl Default for Scene {
-    fn default() -> Scene {
-        Scene {
+impl Default for Scenario {
+    fn default() -> Scenario {
+        Scenario {
             nodes: 16,
             brokers: 3,
             partitions: 32,
@@ -111,12 +110,13 @@
     }
 }
 
-const SPAN: u32 = 4;
-const COLD: (f64, Nanos) = (0.19, 14 * S);
+const HOLDERS_PER_PARTITION: u32 = 4;
+/// Share of its capacity that a node has just after its start, and the duration of its slow start.
+const SLOW_START: (f64, Nanos) = (0.19, 14 * S);
 /// The time at which brokers restart.
-const NOW: Nanos = 1_000_000 * S;
+const RESTART_TIME: Nanos = 1_000_000 * S;
 
-impl Scene {
+impl Scenario {
     /// The brokers' settings: the three classes of the users' deployment.
     pub fn settings(&self) -> Settings {
         let class = |aim: Nanos, deadline: Nanos, worth: f64, late: f64, floor: f64| Class {
@@ -143,7 +143,7 @@
             zone: 0,
             shards: self.partitions,
             cells: self.nodes,
-            span: SPAN,
+            span: HOLDERS_PER_PARTITION,
             parts_per_call: 16,
             call_work: 0,
             discovery: Discovery::Pushed,
@@ -157,8 +157,8 @@
             max_retry_after: 2 * S,
             retry_budget: None,
             answer_slack: 50 * MS,
-            slow_start_share: COLD.0,
-            slow_start_time: COLD.1,
+            slow_start_share: SLOW_START.0,
+            slow_start_time: SLOW_START.1,
             overload_multiple: 3.0,
             overload_time: 1500 * MS,
             round_interval: 5 * MS,
@@ -169,15 +169,15 @@
     fn model(&self) -> NodeModel {
         NodeModel {
             cores: 2,
-            cold_share: COLD.0,
-            cold_time: COLD.1,
+            cold_share: SLOW_START.0,
+            cold_time: SLOW_START.1,
             fall_multiple: 3.0,
             fall_time: 1500 * MS,
             queue: 64,
         }
     }
 
-    fn drawn(&self, age: Nanos, seed: u64) -> Drawn {
+    fn draw_fleet(&self, age: Nanos, seed: u64) -> DrawnFleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let model = self.model();
         let old = |n: u32, state| NodeRecord {
@@ -189,62 +189,67 @@
             state,
             started: 0,
         };
-        let mut drawn = Drawn { nodes: HashMap::new(), old: vec![], learnt: vec![], right: vec![] };
+        let mut drawn =
+            DrawnFleet { nodes: HashMap::new(), old: vec![], last_known: vec![], current: vec![] };
         for n in 0..self.nodes {
             // One node was told to drain as the last news, and has gone since.
             let drains = n == (seed % u64::from(self.nodes)) as u32;
             drawn.old.push(old(n, NodeState::Ready));
-            drawn.learnt.push(old(n, if drains { NodeState::Terminating } else { NodeState::Ready }));
+            drawn.last_known.push(old(n, if drains { NodeState::Terminating } else { NodeState::Ready }));
             let changed = exponential(&mut rng, self.changes_every as f64) < age as f64;
-            let kind = uniform(&mut rng);
-            let recent = uniform(&mut rng) < self.together;
-            let mut here = Node::new(n, 0, &model);
+            let kind_draw = uniform(&mut rng);
+            let is_recent = uniform(&mut rng) < self.together;
+            let mut node = Node::new(n, 0, &model);
             if drains {
-                here.manner = Manner::Drains;
-            } else if changed && kind < self.restarts {
-                let before = if recent { uniform(&mut rng) * 10e9 } else { uniform(&mut rng) * age as f64 };
-                here.started = NOW - (before as Nanos).min(age);
-                let fact = NodeRecord { started: here.started, ..old(n, NodeState::Ready) };
-                drawn.right.push(fact);
+                node.manner = Manner::Drains;
+            } else if changed && kind_draw < self.restarts {
+                let before =
+                    if is_recent { uniform(&mut rng) * 10e9 } else { uniform(&mut rng) * age as f64 };
+                node.started = RESTART_TIME - (before as Nanos).min(age);
+                let record = NodeRecord { started: node.started, ..old(n, NodeState::Ready) };
+                drawn.current.push(record);
             } else if changed {
-                // Moved, its old address refusing or another program's; gone with its machine; or draining.
-                let way = (kind - self.restarts) / (1.0 - self.restarts);
-                here.manner = match way {
+                // Moved, with its old address refusing connections or used by another program; gone with its
+                // machine; or draining.
+                let change_draw = (kind_draw - self.restarts) / (1.0 - self.restarts);
+                node.manner = match change_draw {
                     w if w < 0.25 => Manner::Refuses,
                     w if w < 0.5 => Manner::Foreign,
                     w if w < 0.8 => Manner::Silent,
                     _ => Manner::Drains,
                 };
-                if way < 0.5 {
+                if change_draw < 0.5 {
                     let moved = addr(n, 1);
                     drawn.nodes.insert(moved, Node::new(n, 0, &model));
-                    drawn.right.push(NodeRecord { addr: Some(moved), ..old(n, NodeState::Ready) });
+                    drawn.current.push(NodeRecord { addr: Some(moved), ..old(n, NodeState::Ready) });
                 }
             } else {
-                drawn.right.push(old(n, NodeState::Ready));
+                drawn.current.push(old(n, NodeState::Ready));
             }
-            drawn.nodes.insert(addr(n, 0), here);
+            drawn.nodes.insert(addr(n, 0), node);
         }
         drawn
     }
 
-    /// Plays one world.
-    fn play(&self, age: Nanos, arm: Arm, seed: u64) -> (crate::sim::Counts, Nanos) {
-        let drawn = self.drawn(age, seed);
-        let known = drawn.learnt.iter().filter(|f| f.state != NodeState::Ready).filter_map(|f| f.addr);
+    /// Simulates one world.
+    fn run_world(&self, age: Nanos, arm: Arm, seed: u64) -> (crate::sim::Counts, Nanos) {
+        let drawn = self.draw_fleet(age, seed);
+        let known = drawn.last_known.iter().filter(|f| f.state != NodeState::Ready).filter_map(|f| f.addr);
         let drains: HashSet<SocketAddr> = known.collect();
         let listing = |broker: u64| match arm {
             Arm::None => Listing::Told(vec![]),
-            Arm::Full => Listing::Told(told(&drawn.old)),
-            Arm::Right => Listing::Told(told(&drawn.right)),
+            Arm::Full => Listing::Told(replica_entries(&drawn.old)),
+            Arm::Right => Listing::Told(replica_entries(&drawn.current)),
             Arm::Possible => {
                 let holds = |f: &&NodeRecord| drawn.old.iter().any(|o| o.addr == f.addr);
-                Listing::Told(told(&drawn.right.iter().filter(holds).cloned().collect::<Vec<_>>()))
+                Listing::Told(replica_entries(
+                    &drawn.current.iter().filter(holds).cloned().collect::<Vec<_>>(),
+                ))
             }
             Arm::Weighed => {
-                let mut roster = Registry::new(RegistrySettings {
-                    layout: PartitionLayout { cells: self.nodes, span: SPAN },
-                    warm_up: COLD.1,
+                let mut registry = Registry::new(RegistrySettings {
+                    layout: PartitionLayout { cells: self.nodes, span: HOLDERS_PER_PARTITION },
+                    warm_up: SLOW_START.1,
                     mean_change_interval: self.changes_every,
                     default_list_age: 300 * S,
                     silence_timeout: 400 * MS,
@@ -252,59 +257,67 @@
                     kinds: vec![],
                     seed: seed ^ broker << 32 | broker,
                 });
-                roster.restore(&[kept(&drawn.learnt, NOW - age)], NOW);
-                Listing::Roster(Box::new(roster))
+                registry.restore(&[snapshot_of(&drawn.last_known, RESTART_TIME - age)], RESTART_TIME);
+                Listing::Roster(Box::new(registry))
             }
         };
-        let told = WorldSettings {
+        let world_settings = WorldSettings {
             settings: self.settings(),
             classes: vec![(0.62, 5, 145 * MS), (0.26, 8, 180 * MS), (0.12, 6, 200 * MS)],
             rate: self.rate,
             model: self.model(),
-            from: NOW,
-            until: NOW + 10 * S,
+            from: RESTART_TIME,
+            until: RESTART_TIME + 10 * S,
             script: vec![],
             strain: Strain::default(),
             seed,
         };
         let listings = (0..self.brokers as u64).map(listing).collect();
-        World::new(told, drawn.nodes, listings, &drains).run()
+        World::new(world_settings, drawn.nodes, listings, &drains).run()
     }
 
     /// Measures one age and arm over all worlds.
-    pub fn measure(&self, age_s: u64, arm: Arm, seed: u64) -> Line {
+    pub fn measure(&self, age_s: u64, arm: Arm, seed: u64) -> RestartResult {
         let (mut asked, mut served, mut p99) = (0.0, 0.0, 0.0);
-        let mut line =
-            Line { age_s, arm, service: 0.0, p99_ms: 0.0, late_drain_sends: 0, cold_falls: 0, lost: 0 };
+        let mut result = RestartResult {
+            age_s,
+            arm,
+            service: 0.0,
+            p99_ms: 0.0,
+            late_drain_sends: 0,
+            cold_falls: 0,
+            lost: 0,
+        };
         for world in 0..self.worlds {
-            let (counts, late) = self.play(age_s * S, arm, seed.wrapping_mul(1_000_003).wrapping_add(world));
+            let (counts, late) =
+                self.run_world(age_s * S, arm, seed.wrapping_mul(1_000_003).wrapping_add(world));
             asked += counts.asked;
             served += counts.served;
             p99 += late as f64 / 1e6 / self.worlds as f64;
-            line.late_drain_sends += counts.late_drain_sends;
-            line.cold_falls += counts.cold_falls;
-            line.lost += counts.lost;
+            result.late_drain_sends += counts.late_drain_sends;
+            result.cold_falls += counts.cold_falls;
+            result.lost += counts.lost;
         }
-        line.service = (served / asked * 1e4).round() / 1e4;
-        line.p99_ms = p99.round();
-        line
+        result.service = (served / asked * 1e4).round() / 1e4;
+        result.p99_ms = p99.round();
+        result
     }
 }
 
-struct Drawn {
-    /// What is met at each address.
+struct DrawnFleet {
+    /// The node behind each address.
     nodes: HashMap<SocketAddr, Node>,
     /// The list as it was of old, the same with the last news, and as it should be.
     old: Vec<NodeRecord>,
-    learnt: Vec<NodeRecord>,
-    right: Vec<NodeRecord>,
+    last_known: Vec<NodeRecord>,
+    current: Vec<NodeRecord>,
 }
 
-fn addr(n: u32, place: u8) -> SocketAddr {
-    SocketAddr::from(([127, place + 1, (n >> 8) as u8, n as u8], 80))
+fn addr(n: u32, host: u8) -> SocketAddr {
+    SocketAddr::from(([127, host + 1, (n >> 8) as u8, n as u8], 80))
 }
 
-fn told(facts: &[NodeRecord]) -> Vec<(ReplicaEntry, SocketAddr)> {
+fn replica_entries(records: &[NodeRecord]) -> Vec<(ReplicaEntry, SocketAddr)> {
     let line = |(n, f): (usize, &NodeRecord)| {
         let started = (f.started > 0).then_some(f.started);
         let listed = ReplicaEntry {
@@ -317,11 +330,11 @@
         };
         f.addr.map(|a| (listed, a))
     };
-    facts.iter().enumerate().filter_map(line).collect()
+    records.iter().enumerate().filter_map(line).collect()
 }
 
-/// A list that was last known to hold at `at`.
-pub(crate) fn kept(facts: &[NodeRecord], at: Nanos) -> Snapshot {
+/// A snapshot whose list was last confirmed at `at`.
+pub(crate) fn snapshot_of(records: &[NodeRecord], at: Nanos) -> Snapshot {
     let node = |f: &NodeRecord| SnapshotNode {
         record: f.clone(),
         epoch: 0,
@@ -336,6 +349,6 @@
         full_list: Some((0, 41, at)),
         pruned_up_to: None,
         rate: ChangeRate::NONE,
-        nodes: facts.iter().map(node).collect(),
+        nodes: records.iter().map(node).collect(),
     }
 }
--- a/lab/src/standins.rs
+++ b/lab/src/standins.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wire {
+pub enum WireProtocol {
     Http,
     Sru,
     Z3950,
@@ -20,121 +20,125 @@
 
 /// What a node does with a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Behaviour {
     Serve,
-    /// Serves after so many milliseconds.
-    Late(u64),
+    /// Serves after this many milliseconds.
+    Delayed(u64),
     /// Never answers.
     Silent,
     /// Answers with an error.
     Fail,
-    /// Turns it away.
-    Busy,
-    /// Serves one part in three and turns the others away.
-    Crowded,
+    /// Rejects the part as overloaded.
+    Reject,
+    /// Serves one part in three and rejects the others.
+    RejectMost,
     /// Closes the connection.
-    Break,
-    /// Spoils its answer, on frames: noise, a frame whose rest never comes, an answer to what was not asked,
-    /// the answer twice.
-    Noise,
-    Stall,
-    Stray,
-    Twice,
+    CloseConnection,
+    /// Bytes that are no frame; this and the following are for nodes of the frame protocol only.
+    Garbage,
+    /// A frame whose last bytes never arrive.
+    Truncated,
+    /// An answer to a query that was never sent.
+    UnknownQuery,
+    /// The answer twice.
+    Duplicate,
 }
 
 /// What each node does with each partition, and how many parts came.
 #[derive(Clone, Default)]
-pub struct Script(Arc<Mutex<State>>);
+pub struct NodeScript(Arc<Mutex<State>>);
 
 #[derive(Default)]
 struct State {
-    acts: HashMap<(usize, u32), Act>,
-    /// The node of each part that came, and when.
-    came: Vec<(usize, Instant)>,
-    ended: usize,
+    behaviours: HashMap<(usize, u32), Behaviour>,
+    /// Node and time of each part received.
+    received: Vec<(usize, Instant)>,
+    closed_connections: usize,
     cold: HashMap<usize, Cold>,
 }
 
 /// A node that has just started.
 struct Cold {
-    /// Parts that it takes within `WINDOW`; more push it over.
-    most: usize,
-    /// When the last ones came.
-    came: VecDeque<Instant>,
-    fell: bool,
+    /// Parts that it handles within `OVERLOAD_WINDOW`; more overload it.
+    max_parts: usize,
+    /// When the parts of the last `OVERLOAD_WINDOW` were received.
+    received: VecDeque<Instant>,
+    overloaded: bool,
 }
 
-/// Of so many parts a crowded node serves one.
-const CROWDED_SERVES_ONE_IN: usize = 3;
+/// A node with `Behaviour::RejectMost` serves one in this many parts.
+const REJECT_MOST_SERVES_ONE_IN: usize = 3;
 
-/// Time over which a cold node is pushed.
-const WINDOW: Duration = Duration::from_millis(1500);
+/// Time over which the load of a cold node is counted.
+const OVERLOAD_WINDOW: Duration = Duration::from_millis(1500);
 
-impl Script {
-    pub fn set(&self, nodes: &[usize], partitions: &[u32], act: Act) {
+impl NodeScript {
+    pub fn set(&self, nodes: &[usize], partitions: &[u32], behaviour: Behaviour) {
         let mut s = self.0.lock().unwrap();
-        s.acts.extend(nodes.iter().flat_map(|n| partitions.iter().map(move |p| ((*n, *p), act))));
+        s.behaviours.extend(nodes.iter().flat_map(|n| partitions.iter().map(move |p| ((*n, *p), behaviour))));
     }
 
-    /// Parts that have come to nodes so far.
-    pub fn came(&self) -> usize {
-        self.0.lock().unwrap().came.len()
+    /// Parts that all nodes have received so far.
+    pub fn parts_received(&self) -> usize {
+        self.0.lock().unwrap().received.len()
     }
 
-    /// Connections of nodes of frames that the broker has ended.
-    pub fn ended(&self) -> usize {
-        self.0.lock().unwrap().ended
+    /// Connections to nodes of the frame protocol that have ended.
+    pub fn closed_connections(&self) -> usize {
+        self.0.lock().unwrap().closed_connections
     }
 
-    /// Parts that have come to one node.
-    pub fn came_to(&self, node: usize) -> usize {
-        self.0.lock().unwrap().came.iter().filter(|(n, _)| *n == node).count()
+    /// Parts that one node has received.
+    pub fn parts_received_by(&self, node: usize) -> usize {
+        self.0.lock().unwrap().received.iter().filter(|(n, _)| *n == node).count()
     }
 
-    /// When parts have come to one node.
-    pub fn times_at(&self, node: usize) -> Vec<Instant> {
-        self.0.lock().unwrap().came.iter().filter(|(n, _)| *n == node).map(|(_, at)| *at).collect()
+    /// When one node has received its parts.
+    pub fn receive_times(&self, node: usize) -> Vec<Instant> {
+        self.0.lock().unwrap().received.iter().filter(|(n, _)| *n == node).map(|(_, at)| *at).collect()
     }
 
-    /// The node has just started: it is `late` by so many milliseconds, and falls over for good once more than `most`
-    /// parts come within a second and a half.
-    pub fn restart_cold(&self, node: usize, partitions: &[u32], late: u64, most: usize) {
-        self.set(&[node], partitions, Act::Late(late));
-        let cold = Cold { most, came: VecDeque::new(), fell: false };
+    /// The node has just started: it answers after `delay_ms`, and fails permanently once it receives more
+    /// than `max_parts` parts within a second and a half.
+    pub fn restart_cold(&self, node: usize, partitions: &[u32], delay_ms: u64, max_parts: usize) {
+        self.set(&[node], partitions, Behaviour::Delayed(delay_ms));
+        let cold = Cold { max_parts, received: VecDeque::new(), overloaded: false };
         self.0.lock().unwrap().cold.insert(node, cold);
     }
 
-    /// Nodes that fell over.
-    pub fn fallen(&self) -> usize {
-        self.0.lock().unwrap().cold.values().filter(|c| c.fell).count()
+    /// Number of cold nodes that have failed under overload.
+    pub fn overloaded_nodes(&self) -> usize {
+        self.0.lock().unwrap().cold.values().filter(|c| c.overloaded).count()
     }
 
-    fn act(&self, node: usize, partition: u32) -> Act {
-        let act = {
+    fn next_behaviour(&self, node: usize, partition: u32) -> Behaviour {
+        let behaviour = {
             let mut s = self.0.lock().unwrap();
-            s.came.push((node, Instant::now()));
+            s.received.push((node, Instant::now()));
             if let Some(cold) = s.cold.get_mut(&node) {
                 let now = Instant::now();
-                cold.came.push_back(now);
-                while cold.came.front().is_some_and(|t| now.duration_since(*t) > WINDOW) {
-                    cold.came.pop_front();
+                cold.received.push_back(now);
+                while cold.received.front().is_some_and(|t| now.duration_since(*t) > OVERLOAD_WINDOW) {
+                    cold.received.pop_front();
                 }
-                cold.fell |= cold.came.len() > cold.most;
-                if cold.fell {
-                    return Act::Break;
+                cold.overloaded |= cold.received.len() > cold.max_parts;
+                if cold.overloaded {
+                    return Behaviour::CloseConnection;
                 }
             }
-            match s.acts.get(&(node, partition)).copied().unwrap_or(Act::Serve) {
-                Act::Crowded if !s.came.len().is_multiple_of(CROWDED_SERVES_ONE_IN) => Act::Busy,
-                act => act,
+            match s.behaviours.get(&(node, partition)).copied().unwrap_or(Behaviour::Serve) {
+                Behaviour::RejectMost if !s.received.len().is_multiple_of(REJECT_MOST_SERVES_ONE_IN) => {
+                    Behaviour::Reject
+                }
+                behaviour => behaviour,
             }
         };
-        match act {
-            Act::Late(ms) => std::thread::sleep(Duration::from_millis(ms)),
-            Act::Silent => std::thread::sleep(Duration::from_secs(30)),
+        match behaviour {
+            Behaviour::Delayed(ms) => std::thread::sleep(Duration::from_millis(ms)),
+            Behaviour::Silent => std::thread::sleep(Duration::from_secs(30)),
             _ => {}
         }
-        act
+        behaviour
     }
 }
 
@@ -160,32 +164,33 @@
     addr
 }
 
-/// A node on a port of its own.
-pub fn node(wire: Wire, number: usize, script: Script) -> SocketAddr {
+/// A node on a free port.
+pub fn node(wire: WireProtocol, number: usize, script: NodeScript) -> SocketAddr {
     node_at(SocketAddr::from(([127, 0, 0, 1], 0)), wire, number, script)
 }
 
 /// A node at this address.
-pub fn node_at(addr: SocketAddr, wire: Wire, number: usize, script: Script) -> SocketAddr {
+pub fn node_at(addr: SocketAddr, wire: WireProtocol, number: usize, script: NodeScript) -> SocketAddr {
     listen_at(addr, move |stream| match wire {
-        Wire::Http => {
-            let served = frames(stream, number, &script);
-            script.0.lock().unwrap().ended += 1;
+        WireProtocol::Http => {
+            let served = frame_node(stream, number, &script);
+            script.0.lock().unwrap().closed_connections += 1;
             served
         }
-        Wire::Sru => sru_node(stream, number, &script),
-        Wire::Z3950 => z3950_node(stream, number, &script),
+        WireProtocol::Sru => sru_node(stream, number, &script),
+        WireProtocol::Z3950 => z3950_node(stream, number, &script),
     })
 }
 
-/// A node of frames that swallows all on the first six connections of all such nodes together.
-pub fn silent_at_first(number: usize, script: Script, seen: Arc<AtomicUsize>) -> SocketAddr {
+/// A node of the frame protocol that reads but never answers on the first six connections, which are counted
+/// in `seen` over all such nodes together.
+pub fn node_silent_at_first(number: usize, script: NodeScript, seen: Arc<AtomicUsize>) -> SocketAddr {
     listen(move |mut stream| {
         if seen.fetch_add(1, Ordering::SeqCst) < 6 {
             while stream.read(&mut [0; 1024]).is_ok_and(|n| n > 0) {}
             return None;
         }
-        frames(stream, number, &script)
+        frame_node(stream, number, &script)
     })
 }
 
@@ -193,8 +198,8 @@
     format!("value <{partition}> \"\u{e9}\"")
 }
 
-/// Records of each partition.
-pub const RECORDS: u64 = 3;
+/// Records in each partition.
+pub const RECORDS_PER_PARTITION: u64 = 3;
 
 pub fn record(partition: u32, n: u64) -> Record {
     let mut r = Record::new("00000ccm a2200000 a 4500");
@@ -204,7 +209,7 @@
     r
 }
 
-fn frames(mut stream: TcpStream, number: usize, script: &Script) -> Option<()> {
+fn frame_node(mut stream: TcpStream, number: usize, script: &NodeScript) -> Option<()> {
     let writer = Arc::new(Mutex::new(stream.try_clone().ok()?));
     loop {
         let mut length = [0; 4];
@@ -219,25 +224,29 @@
             let end = rest.iter().position(|b| *b == b'\n')?;
             let line = String::from_utf8(rest[..end].to_vec()).ok()?;
             let words: Vec<&str> = line.split(' ').collect();
-            let (id, shard, long): (String, u32, usize) =
+            let (id, shard, length): (String, u32, usize) =
                 (words[0].into(), words[1].parse().ok()?, words[3].parse().ok()?);
-            rest = &rest[end + 1 + long..];
+            rest = &rest[end + 1 + length..];
             let (script, writer) = (script.clone(), writer.clone());
             std::thread::spawn(move || {
-                let act = script.act(number, shard);
-                let (word, value) = match act {
-                    Act::Fail => ("ERROR", String::new()),
-                    Act::Busy => ("REJECTED", String::new()),
-                    Act::Break => return writer.lock().unwrap().shutdown(std::net::Shutdown::Both).ok(),
+                let behaviour = script.next_behaviour(number, shard);
+                let (word, value) = match behaviour {
+                    Behaviour::Fail => ("ERROR", String::new()),
+                    Behaviour::Reject => ("REJECTED", String::new()),
+                    Behaviour::CloseConnection => {
+                        return writer.lock().unwrap().shutdown(std::net::Shutdown::Both).ok();
+                    }
                     _ => ("OK", value(shard)),
                 };
-                let id = if act == Act::Stray { "nobody.0" } else { &id };
+                let id = if behaviour == Behaviour::UnknownQuery { "nobody.0" } else { &id };
                 let body = format!("Y{id} {word} 17 queue=0,util=0.2\n{value}");
                 let frame = [&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat();
-                let bytes = match act {
-                    Act::Noise => b"\xc3\x28 noise \r\n".to_vec(),
-                    Act::Stall => [&(body.len() as u32 + 9).to_be_bytes(), body.as_bytes()].concat(),
-                    Act::Twice => frame.repeat(2),
+                let bytes = match behaviour {
+                    Behaviour::Garbage => b"\xc3\x28 noise \r\n".to_vec(),
+                    Behaviour::Truncated => {
+                        [&(body.len() as u32 + 9).to_be_bytes(), body.as_bytes()].concat()
+                    }
+                    Behaviour::Duplicate => frame.repeat(2),
                     _ => frame,
                 };
                 writer.lock().unwrap().write_all(&bytes).ok()
@@ -261,20 +270,20 @@
     Some((head, String::from_utf8_lossy(&body).into_owned()))
 }
 
-fn sru_node(mut stream: TcpStream, number: usize, script: &Script) -> Option<()> {
+fn sru_node(mut stream: TcpStream, number: usize, script: &NodeScript) -> Option<()> {
     loop {
         let (head, _) = read_http(&mut stream)?;
         let target = head.split(' ').nth(1)?;
         let partition: u32 = target.strip_prefix("/part-")?.split('?').next()?.parse().ok()?;
         let Ok(sru::Request::Search(s)) = sru::read(&sru::parameters(target, "")) else { return None };
         let mut status = "200 OK";
-        let mut r = sru::Response { total: RECORDS, ..Default::default() };
-        match script.act(number, partition) {
-            Act::Busy => status = "503 Service Unavailable",
-            Act::Fail => r.diagnostics.push(Diagnostic::new(Trouble::GeneralError, "broken")),
-            Act::Break => return None,
+        let mut r = sru::Response { total: RECORDS_PER_PARTITION, ..Default::default() };
+        match script.next_behaviour(number, partition) {
+            Behaviour::Reject => status = "503 Service Unavailable",
+            Behaviour::Fail => r.diagnostics.push(Diagnostic::new(Trouble::GeneralError, "broken")),
+            Behaviour::CloseConnection => return None,
             _ => {
-                let last = (s.start - 1 + s.maximum.unwrap_or(10)).min(RECORDS);
+                let last = (s.start - 1 + s.maximum.unwrap_or(10)).min(RECORDS_PER_PARTITION);
                 r.items = (s.start..=last).map(|n| sru::Item::Record(record(partition, n))).collect();
             }
         }
@@ -296,7 +305,7 @@
     }
 }
 
-fn z3950_node(mut stream: TcpStream, number: usize, script: &Script) -> Option<()> {
+fn z3950_node(mut stream: TcpStream, number: usize, script: &NodeScript) -> Option<()> {
     let mut partition = 0;
     loop {
         let answer = match read_apdu(&mut stream)? {
@@ -312,20 +321,20 @@
                 partition = r.databases[0].strip_prefix("part-")?.parse().ok()?;
                 let Query::Rpn(query) = &r.query else { return None };
                 rpn::read(query, &|_| None).ok()?;
-                let trouble = match script.act(number, partition) {
-                    Act::Busy => Some(Trouble::TemporarilyUnavailable),
-                    Act::Fail => Some(Trouble::GeneralError),
-                    Act::Break => return None,
+                let diagnostic = match script.next_behaviour(number, partition) {
+                    Behaviour::Reject => Some(Trouble::TemporarilyUnavailable),
+                    Behaviour::Fail => Some(Trouble::GeneralError),
+                    Behaviour::CloseConnection => return None,
                     _ => None,
                 };
                 Apdu::SearchResponse(SearchResponse {
                     reference: r.reference,
-                    count: RECORDS as i64,
+                    count: RECORDS_PER_PARTITION as i64,
                     next: 1,
-                    success: trouble.is_none(),
-                    set_status: trouble.map(|_| 3),
+                    success: diagnostic.is_none(),
+                    set_status: diagnostic.map(|_| 3),
                     present_status: None,
-                    records: trouble
+                    records: diagnostic
                         .map_or(Records::None, |t| Records::Diagnostic(Diagnostic::new(t, "scripted"))),
                 })
             }
@@ -344,8 +353,8 @@
     }
 }
 
-/// Discovery that tells one list and then only empty lines.
-pub fn discovery(list: String) -> SocketAddr {
+/// Discovery that sends one list and then only empty lines as keep-alives.
+pub fn static_discovery(list: String) -> SocketAddr {
     listen(move |mut stream| {
         read_http(&mut stream)?;
         let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -1,23 +1,24 @@
 //! The measurement of restarts: the same verdict each time, and what it must show.
 
 use pebbleturn_lab::plot;
-use pebbleturn_lab::restart::{AGES, ARMS, Arm, Line, Scene};
+use pebbleturn_lab::restart::{AGES, ARMS, Arm, RestartResult, Scenario};
 use pebbleturn_lab::sim::{Node, NodeModel};
 
 const HOUR: u64 = 3_600_000_000_000;
 
 #[test]
-fn the_same_seed_gives_the_same_figures() {
-    let scene = Scene { worlds: 2, ..Scene::default() };
-    let line = || serde_json::to_string(&scene.measure(86_400, Arm::Weighed, 5)).unwrap();
+fn same_seed_gives_the_same_results() {
+    let scenario = Scenario { worlds: 2, ..Scenario::default() };
+    let line = || serde_json::to_string(&scenario.measure(86_400, Arm::Weighed, 5)).unwrap();
     assert_eq!(line(), line());
 }
 
 #[test]
-fn weighed_trust_keeps_the_rules_and_its_service_at_every_age() {
-    let scene = Scene { worlds: 6, ..Scene::default() };
+fn weighed_trust_respects_drains_and_slow_starts_and_keeps_its_service_at_every_age() {
+    let scenario = Scenario { worlds: 6, ..Scenario::default() };
     for (age, name) in AGES {
-        let [weighed, full, right] = [Arm::Weighed, Arm::Full, Arm::Right].map(|a| scene.measure(age, a, 1));
+        let [weighed, full, right] =
+            [Arm::Weighed, Arm::Full, Arm::Right].map(|a| scenario.measure(age, a, 1));
         assert_eq!((weighed.late_drain_sends, weighed.cold_falls, weighed.lost), (0, 0, 0), "{name}");
         // Full trust sends to the node that was learnt to drain: the measurement can see it.
         assert!(full.late_drain_sends > 0, "{name}");
@@ -29,24 +30,24 @@
 }
 
 #[test]
-fn without_a_list_nothing_is_served_and_nothing_is_lost() {
-    let scene = Scene { worlds: 1, ..Scene::default() };
-    let line = scene.measure(60, Arm::None, 1);
+fn without_a_list_all_queries_are_refused_and_none_is_lost() {
+    let scenario = Scenario { worlds: 1, ..Scenario::default() };
+    let line = scenario.measure(60, Arm::None, 1);
     assert_eq!((line.service, line.lost), (0.0, 0));
 }
 
 #[test]
-fn where_every_candidate_is_wrong_all_is_refused_and_nothing_is_lost() {
-    // Every node has moved or gone, or drains: whatever the list says, nobody is there.
-    let scene = Scene { worlds: 2, changes_every: HOUR / 60, restarts: 0.0, ..Scene::default() };
+fn with_an_entirely_outdated_list_all_queries_are_refused_and_none_is_lost() {
+    // Every node has moved, has gone or drains: no entry of the list leads to a node that serves.
+    let scenario = Scenario { worlds: 2, changes_every: HOUR / 60, restarts: 0.0, ..Scenario::default() };
     for arm in [Arm::Full, Arm::Weighed] {
-        let line = scene.measure(86_400, arm, 1);
+        let line = scenario.measure(86_400, arm, 1);
         assert_eq!((line.service, line.cold_falls, line.lost), (0.0, 0, 0), "{arm:?}");
     }
 }
 
 #[test]
-fn a_cold_node_falls_when_it_is_pushed_and_a_warm_one_does_not() {
+fn cold_node_fails_under_overload_and_warm_node_does_not() {
     const MS: u64 = 1_000_000;
     let model = NodeModel {
         cores: 2,
@@ -56,23 +57,23 @@
         fall_time: 1500 * MS,
         queue: 64,
     };
-    // Twice what the warm node can do: 27 parts of 150 ms a second.
-    let pushed = |started: u64| {
+    // Twice the capacity of the warm node: 27 parts of 150 ms a second.
+    let fails = |started: u64| {
         let mut node = Node::new(0, started, &model);
         for n in 0..60 {
             node.take(100_000 * MS + n * 37 * MS, 150 * MS, &model);
         }
         node.fell
     };
-    assert!(pushed(100_000 * MS) && !pushed(0));
+    assert!(fails(100_000 * MS) && !fails(0));
 }
 
 #[test]
-fn a_plot_has_a_line_for_each_arm() {
-    let lines: Vec<Line> = ARMS
+fn plot_has_a_line_for_each_arm() {
+    let lines: Vec<RestartResult> = ARMS
         .into_iter()
         .flat_map(|arm| AGES.map(|(age_s, _)| (age_s, arm)))
-        .map(|(age_s, arm)| Line {
+        .map(|(age_s, arm)| RestartResult {
             age_s,
             arm,
             service: 0.5,
--- a/tests/cluster/processes.rs
+++ b/tests/cluster/processes.rs
@@ -9,7 +9,7 @@
 };
 use pebbleturn_lab::cluster::bed::*;
 use pebbleturn_lab::cluster::links::Fault;
-use pebbleturn_lab::directory::{Directory, line};
+use pebbleturn_lab::directory::{Directory, endpoint};
 use pebbleturn_lab::running::until;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -42,14 +42,14 @@
     );
     // What was out there is over soon; from then on nothing new comes, for as long as the ban holds.
     until("nothing is out", || bed.call(2, "OUT n-1") == "SUCCESS 0\n");
-    let before = bed.script.came_to(1);
+    let before = bed.script.parts_received_by(1);
     clients.more(100);
-    assert_eq!(bed.script.came_to(1), before, "parts came to a node that is out");
+    assert_eq!(bed.script.parts_received_by(1), before, "parts came to a node that is out");
     assert!(bed.call(1, "SUSPEND nobody").starts_with("FAILURE nobody was never listed"));
     assert!(bed.call(1, "PAUSE nobody").starts_with("FAILURE nobody is no broker"));
     bed.must(1, "RESTORE n-1");
     bed.everywhere("server n-1", false);
-    until("it is used again", || bed.script.came_to(1) > before);
+    until("it is used again", || bed.script.parts_received_by(1) > before);
     clients.more(50);
     clients.end();
     // One broker is paused by a word at another, until it is resumed, over its own restart too.
@@ -455,7 +455,7 @@
 fn a_drain_heard_by_one_broker_is_kept_by_all_until_their_own_lists_are_as_new() {
     let mut bed = Bed::new(PROGRAM, 3, 15);
     let all: Vec<_> = (0..3).map(|n| (format!("n-{n}"), bed.nodes()[n], n as u32)).collect();
-    let says = |n: usize, state| line(&all[n].0, all[n].1, "sru", all[n].2, state);
+    let says = |n: usize, state| endpoint(&all[n].0, all[n].1, "sru", all[n].2, state);
     let listed = || (0..3).map(|n| says(n, NodeState::Ready)).collect::<Vec<_>>();
     let directories: Vec<Directory> = (0..3).map(|_| Directory::start(listed())).collect();
     // The second broker has no discovery: its nodes are those of its file, which it knew before it heard of any peer.
@@ -466,15 +466,15 @@
     bed.meet();
     let clients = Clients::at(&bed, 2, 2);
     let by_file = Clients::at(&bed, 1, 1);
-    until("all nodes are used", || (0..3).all(|n| bed.script.came_to(n) > 5));
+    until("all nodes are used", || (0..3).all(|n| bed.script.parts_received_by(n) > 5));
     // Only the first broker's discovery knows of the drain, and of a node that the others never heard of.
     directories[0].change(says(1, NodeState::Terminating));
     directories[0].change(Endpoint { id: "n-9".into(), ..says(2, NodeState::Ready) });
-    let mut quiet = (bed.script.came_to(1), 0);
+    let mut quiet = (bed.script.parts_received_by(1), 0);
     until("the others send it nothing more", || {
         clients.more(20);
         by_file.more(20);
-        let came = bed.script.came_to(1);
+        let came = bed.script.parts_received_by(1);
         quiet = if came == quiet.0 { (came, quiet.1 + 1) } else { (came, 0) };
         quiet.1 == 5
     });
@@ -483,19 +483,19 @@
     // Its own list becomes newer: that says again that the node takes work.
     directories[2].change(says(0, NodeState::Ready));
     directories[2].change(says(1, NodeState::Ready));
-    until("it is used again", || bed.script.came_to(1) > quiet.0);
+    until("it is used again", || bed.script.parts_received_by(1) > quiet.0);
     clients.end();
     // The one without discovery waits for its restart, which the first one hears of.
-    let mut quiet = (bed.script.came_to(1), 0);
+    let mut quiet = (bed.script.parts_received_by(1), 0);
     until("it still gets nothing by the file", || {
         by_file.more(20);
-        let came = bed.script.came_to(1);
+        let came = bed.script.parts_received_by(1);
         quiet = if came == quiet.0 { (came, quiet.1 + 1) } else { (came, 0) };
         quiet.1 == 3
     });
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     directories[0].change(Endpoint { started_ms: now, ..says(1, NodeState::Ready) });
-    until("it is used again by the file too", || bed.script.came_to(1) > quiet.0);
+    until("it is used again by the file too", || bed.script.parts_received_by(1) > quiet.0);
     by_file.end();
     settled(&mut bed);
 }
--- a/tests/discovery_faults/fleet.rs
+++ b/tests/discovery_faults/fleet.rs
@@ -13,7 +13,7 @@
 use super::judge::{GRACE, Mode, SLACK};
 use super::scenarios::{platform_config, sleep_until};
 use super::shared_discovery::SharedDiscovery;
-use pebbleturn_lab::standins::{Act, Script, Wire, node};
+use pebbleturn_lab::standins::{Behaviour, NodeScript, WireProtocol, node};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -40,16 +40,17 @@
 /// A broker with servers of its own, behind addresses that no other broker has.
 struct Member {
     number: usize,
-    script: Script,
+    script: NodeScript,
     servers: Vec<SocketAddr>,
     process: BrokerProcess,
 }
 
 impl Member {
     fn start(number: usize, seed: u64, discovery: &SharedDiscovery) -> Member {
-        let script = Script::default();
-        script.set(&[0, 2], &[0, 1, 2], Act::Late(SLOWER_MS));
-        let servers: Vec<SocketAddr> = (0..SERVERS).map(|n| node(Wire::Http, n, script.clone())).collect();
+        let script = NodeScript::default();
+        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(SLOWER_MS));
+        let servers: Vec<SocketAddr> =
+            (0..SERVERS).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
         discovery.set_list(number, whole_list(&servers, false));
         let process = BrokerProcess::start(&config(&servers, discovery.address_for(number), seed));
         Member { number, script, servers, process }
@@ -72,7 +73,7 @@
         let latest = drained + REPORTED_AT_THE_LATEST;
         let reported = discovery.written_since(self.number, drained).map_or(latest, |at| at.min(latest));
         let late: Vec<Instant> =
-            self.script.times_at(1).into_iter().filter(|at| *at > reported + GRACE + SLACK).collect();
+            self.script.receive_times(1).into_iter().filter(|at| *at > reported + GRACE + SLACK).collect();
         let Some(last) = late.last() else { return Ok(()) };
         Err(format!(
             "broker {}: {} parts after the grace, the last {:.2} s after the drain was reported at {:.2} s; {} calls\n{}",
--- a/tests/discovery_faults/scenarios.rs
+++ b/tests/discovery_faults/scenarios.rs
@@ -3,7 +3,7 @@
 use super::broker_process::{Answers, BrokerProcess};
 use super::judge::{GRACE, Mode, SLACK};
 use super::scripted_discovery::{Call, Directory, Outage, Service};
-use pebbleturn_lab::standins::{Act, Script, Wire, node};
+use pebbleturn_lab::standins::{Behaviour, NodeScript, WireProtocol, node};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -275,10 +275,10 @@
 
     /// Runs it; an error says how the rule was broken.
     fn run(&self) -> Result<(), String> {
-        let script = Script::default();
+        let script = NodeScript::default();
         // The server that drains is the fastest: it gets parts for as long as the broker takes it for ready.
-        script.set(&[0, 2], &[0, 1, 2], Act::Late(SLOWER_MS));
-        let servers: Vec<_> = (0..3).map(|n| node(Wire::Http, n, script.clone())).collect();
+        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(SLOWER_MS));
+        let servers: Vec<_> = (0..3).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
         let directory = Arc::new(Directory::new(servers));
         let service = Service::start(directory.clone(), self.calls.clone(), self.outage);
         let broker = BrokerProcess::start(&self.config(&directory, &service));
@@ -290,10 +290,10 @@
             scope.spawn(|| self.reload(&broker, &directory, service, started));
             if self.turns_away {
                 sleep_until(started + self.drain_at - NOTICE);
-                script.set(&[1], &[0, 1, 2], Act::Busy);
+                script.set(&[1], &[0, 1, 2], Behaviour::Reject);
             }
             if self.is_crowded {
-                script.set(&[0, 2], &[0, 1, 2], Act::Crowded);
+                script.set(&[0, 2], &[0, 1, 2], Behaviour::RejectMost);
             }
             sleep_until(started + self.drain_at);
             directory.drain();
@@ -343,7 +343,7 @@
 
     fn judge(
         &self,
-        script: &Script,
+        script: &NodeScript,
         directory: &Directory,
         started: Instant,
         answers: Answers,
@@ -351,7 +351,7 @@
         let since_start = |at: Instant| at.duration_since(started).as_secs_f64();
         let reported =
             directory.reports.reported(self.mode, started).ok_or("the drain was never reported")?;
-        let times = script.times_at(1);
+        let times = script.receive_times(1);
         if times.is_empty() {
             return Err("the server got nothing before it drained".into());
         }
--- a/tests/fronts/clients.rs
+++ b/tests/fronts/clients.rs
@@ -31,9 +31,9 @@
 }
 
 pub struct Served {
-    pub wire: Wire,
+    pub wire: WireProtocol,
     pub addr: SocketAddr,
-    pub script: Script,
+    pub script: NodeScript,
     waker: Waker,
     thread: JoinHandle<()>,
 }
@@ -41,21 +41,27 @@
 pub const PARTITIONS: u32 = 3;
 
 /// Starts three nodes and a broker between them and clients of `wire`.
-pub fn serve(wire: Wire, nodes: Wire, max_open: u32) -> Served {
-    let script = Script::default();
-    let nodes: Vec<(SocketAddr, Wire)> = (0..3).map(|n| (node(nodes, n, script.clone()), nodes)).collect();
+pub fn serve(wire: WireProtocol, nodes: WireProtocol, max_open: u32) -> Served {
+    let script = NodeScript::default();
+    let nodes: Vec<(SocketAddr, WireProtocol)> =
+        (0..3).map(|n| (node(nodes, n, script.clone()), nodes)).collect();
     serve_with(wire, &nodes, max_open, script)
 }
 
-pub fn serve_with(wire: Wire, nodes: &[(SocketAddr, Wire)], max_open: u32, script: Script) -> Served {
-    if wire == Wire::Http {
+pub fn serve_with(
+    wire: WireProtocol,
+    nodes: &[(SocketAddr, WireProtocol)],
+    max_open: u32,
+    script: NodeScript,
+) -> Served {
+    if wire == WireProtocol::Http {
         return serve_told(&platform_config(nodes, max_open, None), script);
     }
     let (tell, told) = mpsc::channel();
     let operator = told_operator(nodes, max_open);
     let thread = std::thread::spawn(move || {
         let (mut broker, addrs) = catalogue::broker(operator).unwrap();
-        let addr = addrs[usize::from(wire == Wire::Z3950)];
+        let addr = addrs[usize::from(wire == WireProtocol::Z3950)];
         tell.send((addr, broker.shutdown_handle().unwrap())).unwrap();
         broker.run().unwrap();
     });
@@ -64,7 +70,7 @@
 }
 
 /// A broker on the platform with this configuration.
-pub fn serve_told(config: &str, script: Script) -> Served {
+pub fn serve_told(config: &str, script: NodeScript) -> Served {
     let (tell, told) = mpsc::channel();
     let config = PlatformConfig::read(config, |_| None).unwrap();
     let thread = std::thread::spawn(move || {
@@ -73,14 +79,14 @@
         broker.run().unwrap();
     });
     let (addr, waker) = told.recv().unwrap();
-    Served { wire: Wire::Http, addr, script, waker, thread }
+    Served { wire: WireProtocol::Http, addr, script, waker, thread }
 }
 
 /// Classes alike on both fronts: `whole` needs all parts, `most` two of three, `short` has little time.
 const CLASSES: [(&str, u64, u64, f64); 3] =
     [("whole", 8000, 20_000, 1.0), ("most", 3000, 20_000, 0.6), ("short", 600, 1500, 1.0)];
 
-fn told_operator(nodes: &[(SocketAddr, Wire)], max_open: u32) -> OperatorConfig {
+fn told_operator(nodes: &[(SocketAddr, WireProtocol)], max_open: u32) -> OperatorConfig {
     let mut text = format!(
         "name = \"test\"\nzone = \"a\"\n[limits]\nmax_open = {max_open}\nsockets = 96\npage = 2\n[partitions]\ncount = {PARTITIONS}\n\
          cells = 3\nholders = 2\ndatabase = \"part-{{partition}}\"\nkey_index = \"music.compositionid\"\n"
@@ -95,7 +101,7 @@
         text += &format!("[[listener]]\nprotocol = \"{protocol}\"\nlisten = \"127.0.0.1:0\"\n");
     }
     for (n, (addr, wire)) in nodes.iter().enumerate() {
-        let protocol = if *wire == Wire::Sru { "sru" } else { "z3950" };
+        let protocol = if *wire == WireProtocol::Sru { "sru" } else { "z3950" };
         text += &format!(
             "[[node]]\nid = \"n{n}\"\nprotocol = \"{protocol}\"\naddress = \"{addr}\"\nzone = \"a\"\ncell = {n}\n"
         );
@@ -103,15 +109,19 @@
     OperatorConfig::read(&text).unwrap()
 }
 
-pub fn platform_config(nodes: &[(SocketAddr, Wire)], max_open: u32, discovery: Option<SocketAddr>) -> String {
-    let line = |(n, (addr, _)): (usize, &(SocketAddr, Wire))| {
+pub fn platform_config(
+    nodes: &[(SocketAddr, WireProtocol)],
+    max_open: u32,
+    discovery: Option<SocketAddr>,
+) -> String {
+    let line = |(n, (addr, _)): (usize, &(SocketAddr, WireProtocol))| {
         format!(
             r#"{{"id":"s-{n}","addr":"{addr}","zone":"a","kind":"k","cell":{n},"state":"Ready","weight":1.0,"started_ms":0}}"#
         )
     };
     let lines: Vec<String> = nodes.iter().enumerate().map(line).collect();
     let list = format!(r#"{{"version":7,"full":true,"servers":[{}]}}"#, lines.join(","));
-    let discovery = discovery.unwrap_or_else(|| self::discovery(list.clone()));
+    let discovery = discovery.unwrap_or_else(|| self::static_discovery(list.clone()));
     let class = |(name, aim, deadline, _): (&str, u64, u64, f64)| {
         format!(
             r#"{{"name":"{name}","goal_time_ns":{aim}000000,"deadline_ns":{deadline}000000,"effect":"safe","late_worth":0.0,"worth":1.0}}"#
@@ -133,7 +143,7 @@
         // Only a hang is caught by this; no test leans on it.
         stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
         let mut client = Client { wire: self.wire, stream, asked: 0 };
-        if self.wire == Wire::Z3950 {
+        if self.wire == WireProtocol::Z3950 {
             client.write(
                 &Apdu::InitRequest(InitRequest {
                     reference: None,
@@ -156,7 +166,7 @@
 
     /// Waits until so many parts have come to the nodes.
     pub fn wait_for_parts(&self, n: usize) {
-        while self.script.came() < n {
+        while self.script.parts_received() < n {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -171,7 +181,7 @@
 }
 
 pub struct Client {
-    pub wire: Wire,
+    pub wire: WireProtocol,
     pub stream: TcpStream,
     asked: u32,
 }
@@ -201,7 +211,7 @@
         self.asked += 1;
         let (n, port) = (self.asked, self.stream.local_addr().unwrap().port());
         let message = match self.wire {
-            Wire::Http => {
+            WireProtocol::Http => {
                 let part = |s: u32| format!(r#"{{"segment":{s},"boost":0.3333333,"work":1000}}"#);
                 let parts: Vec<String> = (0..PARTITIONS).map(part).collect();
                 let parts = if term.is_empty() { vec![part(0), part(0)] } else { parts };
@@ -210,11 +220,11 @@
                 let deadline = CLASSES.iter().find(|c| c.0 == class).map_or(0, |c| c.2);
                 format!("POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: q{port}x{n}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline}m\r\nContent-Length: {long}\r\n\r\n{body}").into_bytes()
             }
-            Wire::Sru => {
+            WireProtocol::Sru => {
                 let query = sru::percent_encode(&format!("dc.title = \"{term}\""));
                 format!("GET /{class}?version=1.1&operation=searchRetrieve&maximumRecords=50&query={query} HTTP/1.1\r\nHost: x\r\n\r\n").into_bytes()
             }
-            Wire::Z3950 => Apdu::SearchRequest(SearchRequest {
+            WireProtocol::Z3950 => Apdu::SearchRequest(SearchRequest {
                 reference: Some(n.to_be_bytes().into()),
                 small_upper: 0,
                 large_lower: 1,
@@ -234,15 +244,15 @@
     /// Reads the one final answer.
     pub fn reply(&mut self) -> Reply {
         match self.wire {
-            Wire::Http => {
+            WireProtocol::Http => {
                 let (head, body) = read_http(&mut self.stream).expect("an answer");
                 reply_http(&head, &body)
             }
-            Wire::Sru => {
+            WireProtocol::Sru => {
                 let (head, body) = read_http(&mut self.stream).expect("an answer");
                 reply_sru(&head, &body)
             }
-            Wire::Z3950 => self.reply_z3950(),
+            WireProtocol::Z3950 => self.reply_z3950(),
         }
     }
 
@@ -286,7 +296,7 @@
     /// True once the broker has ended the connection; on the way an open session must be told so.
     pub fn is_ended(&mut self) -> bool {
         use std::io::Read;
-        if self.wire == Wire::Z3950 {
+        if self.wire == WireProtocol::Z3950 {
             assert!(
                 matches!(read_apdu(&mut self.stream), Some(Apdu::Close { reason: 1, .. })),
                 "a Close comes first"
@@ -353,14 +363,14 @@
 
 /// Records must be as the nodes have them, partition after partition.
 fn judge(found: Vec<Record>, partial: bool) -> Reply {
-    let all = (0..PARTITIONS).flat_map(|p| (1..=RECORDS).map(move |n| record(p, n)));
+    let all = (0..PARTITIONS).flat_map(|p| (1..=RECORDS_PER_PARTITION).map(move |n| record(p, n)));
     let name = |r: &Record| match &r.fields[0] {
         Field::Control { value, .. } => value.clone(),
         Field::Data { .. } => panic!("no 001"),
     };
     let expected: Vec<Record> = all.filter(|r| found.iter().any(|f| name(f) == name(r))).collect();
     assert_eq!(found, expected);
-    let partitions = found.len() / RECORDS as usize;
+    let partitions = found.len() / RECORDS_PER_PARTITION as usize;
     if partial {
         Reply::Partial(partitions)
     } else {
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -13,17 +13,17 @@
     ($($(#[$doc:meta])* fn $name:ident($wire:ident, $nodes:ident) $body:block)*) => {$(
         mod $name {
             use super::*;
-            fn run($wire: Wire, $nodes: Wire) $body
+            fn run($wire: WireProtocol, $nodes: WireProtocol) $body
             #[test]
-            fn http_to_frames() { run(Wire::Http, Wire::Http); }
+            fn http_to_frames() { run(WireProtocol::Http, WireProtocol::Http); }
             #[test]
-            fn sru_to_sru() { run(Wire::Sru, Wire::Sru); }
+            fn sru_to_sru() { run(WireProtocol::Sru, WireProtocol::Sru); }
             #[test]
-            fn sru_to_z3950() { run(Wire::Sru, Wire::Z3950); }
+            fn sru_to_z3950() { run(WireProtocol::Sru, WireProtocol::Z3950); }
             #[test]
-            fn z3950_to_sru() { run(Wire::Z3950, Wire::Sru); }
+            fn z3950_to_sru() { run(WireProtocol::Z3950, WireProtocol::Sru); }
             #[test]
-            fn z3950_to_z3950() { run(Wire::Z3950, Wire::Z3950); }
+            fn z3950_to_z3950() { run(WireProtocol::Z3950, WireProtocol::Z3950); }
         }
     )*};
 }
@@ -41,7 +41,7 @@
     }
 
     fn a_part_is_tried_elsewhere_when_a_node_fails_it(wire, nodes) {
-        for act in [Act::Fail, Act::Busy, Act::Break] {
+        for act in [Behaviour::Fail, Behaviour::Reject, Behaviour::CloseConnection] {
             let s = serve(wire, nodes, 100);
             s.script.set(&[1], &[0, 1, 2], act);
             assert_eq!(s.ask("whole"), Reply::Whole, "{act:?}");
@@ -49,7 +49,7 @@
     }
 
     fn a_dead_node_costs_no_answer(wire, nodes) {
-        let script = Script::default();
+        let script = NodeScript::default();
         let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let alive = |n| (node(nodes, n, script.clone()), nodes);
         let s = serve_with(wire, &[(closed, nodes), alive(1), alive(2)], 100, script.clone());
@@ -60,22 +60,22 @@
 
     fn an_answer_from_the_floor_up_is_given_and_says_that_it_is_partial(wire, nodes) {
         let s = serve(wire, nodes, 100);
-        s.script.set(ALL, &[1], Act::Silent);
+        s.script.set(ALL, &[1], Behaviour::Silent);
         assert_eq!(s.ask("most"), Reply::Partial(2));
     }
 
     fn no_answer_is_given_from_under_the_floor(wire, nodes) {
         let s = serve(wire, nodes, 100);
-        s.script.set(ALL, &[1, 2], Act::Silent);
+        s.script.set(ALL, &[1, 2], Behaviour::Silent);
         assert_eq!(s.ask("most"), REFUSED);
         let whole = serve(wire, nodes, 100);
-        whole.script.set(ALL, &[1], Act::Silent);
+        whole.script.set(ALL, &[1], Behaviour::Silent);
         assert!(matches!(whole.ask("short"), Reply::Refused { .. } | Reply::Failed));
     }
 
     fn a_query_that_no_replica_can_serve_is_refused_at_once_with_a_wait(wire, nodes) {
         let s = serve(wire, nodes, 100);
-        s.script.set(ALL, &[2], Act::Fail);
+        s.script.set(ALL, &[2], Behaviour::Fail);
         let start = std::time::Instant::now();
         assert_eq!(s.ask("whole"), REFUSED);
         // Its class has 20 s; three failed attempts take milliseconds.
@@ -84,10 +84,10 @@
 
     fn silent_nodes_lead_to_one_final_answer_and_the_connection_lives_on(wire, nodes) {
         let s = serve(wire, nodes, 100);
-        s.script.set(ALL, &[0, 1, 2], Act::Silent);
+        s.script.set(ALL, &[0, 1, 2], Behaviour::Silent);
         let mut client = s.client();
         assert!(matches!(client.ask("short"), Reply::Refused { .. } | Reply::Failed));
-        s.script.set(ALL, &[0, 1, 2], Act::Serve);
+        s.script.set(ALL, &[0, 1, 2], Behaviour::Serve);
         // The nodes' connections that hold silent parts are busy or given up; the next answer is the next query's.
         let again = (0..20).find(|_| client.ask("whole") == Reply::Whole);
         assert!(again.is_some());
@@ -95,12 +95,12 @@
 
     fn over_max_open_a_query_is_refused_and_a_client_that_goes_frees_its_place(wire, nodes) {
         let s = serve(wire, nodes, 1 + PARTITIONS);
-        s.script.set(ALL, &[0], Act::Late(5000));
+        s.script.set(ALL, &[0], Behaviour::Delayed(5000));
         let mut first = s.client();
         first.send("whole", "raga");
         s.wait_for_parts(3);
         assert_eq!(s.ask("whole"), REFUSED);
-        s.script.set(ALL, &[0], Act::Serve);
+        s.script.set(ALL, &[0], Behaviour::Serve);
         drop(first);
         let served = (0..2000).any(|_| {
             std::thread::sleep(std::time::Duration::from_millis(5));
@@ -145,11 +145,11 @@
         use std::io::Read;
         let s = serve(wire, nodes, 100);
         let mut bad = TcpStream::connect(s.addr).unwrap();
-        let half: &[u8] = if wire == Wire::Z3950 { &[0xb4, 0x20, 0x83] } else { b"POST /api HTTP/1.1\r\nContent-Le" };
+        let half: &[u8] = if wire == WireProtocol::Z3950 { &[0xb4, 0x20, 0x83] } else { b"POST /api HTTP/1.1\r\nContent-Le" };
         std::io::Write::write_all(&mut bad, half).unwrap();
         let mut rest = String::new();
         bad.read_to_string(&mut rest).unwrap();
-        assert!(rest.starts_with("HTTP/1.1 408") || (wire == Wire::Z3950 && rest.is_empty()), "{rest}");
+        assert!(rest.starts_with("HTTP/1.1 408") || (wire == WireProtocol::Z3950 && rest.is_empty()), "{rest}");
     }
 
     fn who_is_connected_is_served_on_for_a_while_after_the_word_to_end(wire, nodes) {
@@ -168,12 +168,12 @@
         let s = serve(wire, nodes, 100);
         let (mut idle, mut busy) = (s.client(), s.client());
         assert_eq!(idle.ask("whole"), Reply::Whole);
-        let before = s.script.came();
-        s.script.set(ALL, &[0, 1, 2], Act::Late(300));
+        let before = s.script.parts_received();
+        s.script.set(ALL, &[0, 1, 2], Behaviour::Delayed(300));
         busy.send("whole", "raga");
         s.wait_for_parts(before + 3);
         s.drain();
-        if wire == Wire::Z3950 {
+        if wire == WireProtocol::Z3950 {
             // The search is finished; then the session ends, so that nothing can be presented.
             let answer = read_apdu(&mut busy.stream);
             assert!(matches!(answer, Some(pebbleturn::frontends::catalogue::apdu::Apdu::SearchResponse(r)) if r.success));
--- a/tests/fronts/protocols.rs
+++ b/tests/fronts/protocols.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn result_sets_are_named_bounded_refetched_and_deleted() {
-    let s = serve(Wire::Z3950, Wire::Sru, 100);
+    let s = serve(WireProtocol::Z3950, WireProtocol::Sru, 100);
     let mut c = s.client();
     let found = ask(&mut c, Apdu::SearchRequest(search("a", title("raga"))));
     assert!(matches!(&found, Apdu::SearchResponse(r) if r.success && r.count == 9));
@@ -96,7 +96,7 @@
 
 #[test]
 fn small_sets_bring_their_records_along() {
-    let s = serve(Wire::Z3950, Wire::Z3950, 100);
+    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     for (small, large, medium, expected) in [(9, 10, 0, 9), (8, 9, 5, 0), (1, 100, 4, 4)] {
         let r = SearchRequest {
@@ -112,7 +112,7 @@
 
 #[test]
 fn searches_that_can_t_be_understood_meet_the_standard_numbers() {
-    let s = serve(Wire::Z3950, Wire::Z3950, 100);
+    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     let unknown = SearchRequest { databases: vec!["nowhere".into()], ..search("a", title("raga")) };
     let two = SearchRequest { databases: vec!["whole".into(), "most".into()], ..search("a", title("raga")) };
@@ -134,7 +134,7 @@
 
 #[test]
 fn services_that_were_not_agreed_on_are_answered_and_a_close_is_returned() {
-    let s = serve(Wire::Z3950, Wire::Z3950, 100);
+    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     for (request, response) in [(35, 36), (43, 44), (46, 47)] {
         let answer = ask(&mut c, Apdu::Other { reference: Some(vec![9]), tag: request });
@@ -160,7 +160,7 @@
 
 #[test]
 fn sru_pages_explains_and_meets_bad_requests() {
-    let s = serve(Wire::Sru, Wire::Z3950, 100);
+    let s = serve(WireProtocol::Sru, WireProtocol::Z3950, 100);
     let base = "/whole?version=1.2&operation=searchRetrieve&query=raga";
     let (_, body) = get(&s, &format!("{base}&startRecord=3&maximumRecords=2"));
     let r = sru::read_response(body.as_bytes()).unwrap();
@@ -191,25 +191,25 @@
 
 #[test]
 fn a_composition_key_narrows_a_search_to_its_partitions() {
-    for wire in [Wire::Sru, Wire::Z3950] {
-        let s = serve(wire, Wire::Sru, 100);
+    for wire in [WireProtocol::Sru, WireProtocol::Z3950] {
+        let s = serve(wire, WireProtocol::Sru, 100);
         let key = Clause::new(5030, "k-17");
         let partition = plan::partitions(PARTITIONS, 1, Some(plan::key_number("k-17")))[0];
         // Were another partition asked, there would be no whole answer.
         let others: Vec<u32> = (0..PARTITIONS).filter(|p| *p != partition).collect();
-        s.script.set(&[0, 1, 2], &others, Act::Fail);
+        s.script.set(&[0, 1, 2], &others, Behaviour::Fail);
         let both = Search::join(Operator::And, Search::Clause(key), Search::Clause(Clause::new(4, "raga")));
-        let first = if wire == Wire::Sru {
+        let first = if wire == WireProtocol::Sru {
             let query = sru::percent_encode("music.compositionid = \"k-17\" and dc.title = raga");
             let (_, body) = get(&s, &format!("/whole?version=1.1&operation=searchRetrieve&query={query}"));
             let r = sru::read_response(body.as_bytes()).unwrap();
-            assert_eq!(r.total, RECORDS);
+            assert_eq!(r.total, RECORDS_PER_PARTITION);
             let Some(sru::Item::Record(first)) = r.items.into_iter().next() else { panic!() };
             first
         } else {
             let mut c = s.client();
             let found = ask(&mut c, Apdu::SearchRequest(search("a", Query::Rpn(rpn::write(&both)))));
-            assert!(matches!(found, Apdu::SearchResponse(r) if r.count == RECORDS as i64));
+            assert!(matches!(found, Apdu::SearchResponse(r) if r.count == RECORDS_PER_PARTITION as i64));
             record(partition, 1)
         };
         assert_eq!(first.fields[0], Field::Control { tag: "001".into(), value: format!("p{partition}-1") });
@@ -218,7 +218,7 @@
 
 #[test]
 fn the_platform_s_port_answers_bad_requests_by_status() {
-    let s = serve(Wire::Http, Wire::Http, 100);
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
     let send = |text: &str| {
         let mut stream = TcpStream::connect(s.addr).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
@@ -263,11 +263,12 @@
 fn a_connection_that_fell_silent_is_dialled_anew_after_the_shortest_aim() {
     // A machine so busy that seconds go by between two lines may need another try.
     let served = (0..10).any(|_| {
-        let script = Script::default();
+        let script = NodeScript::default();
         let first = Arc::new(AtomicUsize::new(0));
-        let nodes: Vec<_> =
-            (0..3).map(|n| (silent_at_first(n, script.clone(), first.clone()), Wire::Http)).collect();
-        let s = serve_with(Wire::Http, &nodes, 100, script);
+        let nodes: Vec<_> = (0..3)
+            .map(|n| (node_silent_at_first(n, script.clone(), first.clone()), WireProtocol::Http))
+            .collect();
+        let s = serve_with(WireProtocol::Http, &nodes, 100, script);
         let mut client = s.client();
         let start = std::time::Instant::now();
         // Six connections that swallow all: no answer comes before new ones are dialled. The aim is 0.6 s, and
@@ -283,8 +284,9 @@
 
 #[test]
 fn a_node_that_drains_gets_nothing_new_and_a_new_address_is_used() {
-    let script = Script::default();
-    let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let script = NodeScript::default();
+    let nodes: Vec<_> =
+        (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (tell, told) = std::sync::mpsc::channel::<String>();
     let told = std::sync::Mutex::new(told);
     let discovery = listen(move |mut stream| {
@@ -303,17 +305,17 @@
         )
     };
     // Node 1 drains, and its number 9 from now on shows what still reaches it there.
-    tell.send(line(1, node(Wire::Http, 9, script.clone()), "Terminating")).unwrap();
-    tell.send(line(2, node(Wire::Http, 8, script.clone()), "Ready")).unwrap();
+    tell.send(line(1, node(WireProtocol::Http, 9, script.clone()), "Terminating")).unwrap();
+    tell.send(line(2, node(WireProtocol::Http, 8, script.clone()), "Ready")).unwrap();
     // Partition 1 is held by nodes 1 and 2: from the moment of the news on, only 8 serves it.
     let moved = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        s.script.set(&[1, 2, 9], &[1], Act::Fail);
+        s.script.set(&[1, 2, 9], &[1], Behaviour::Fail);
         s.ask("whole") == Reply::Whole && (0..20).all(|_| s.ask("whole") == Reply::Whole)
     });
     assert!(moved);
-    assert_eq!(s.script.came_to(9), 0, "a node that drains gets nothing new");
-    assert!(s.script.came_to(8) > 0);
+    assert_eq!(s.script.parts_received_by(9), 0, "a node that drains gets nothing new");
+    assert!(s.script.parts_received_by(8) > 0);
 }
 
 /// A query with this id, deadline line and body.
@@ -326,7 +328,7 @@
 
 #[test]
 fn queries_that_are_none_get_400_and_are_not_passed_on() {
-    let s = serve(Wire::Http, Wire::Http, 100);
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
     let mut c = s.client();
     let segments = |parts: &[(&str, &str)]| {
         let one = |(s, b): &(&str, &str)| format!(r#"{{"segment":{s},"boost":{b}}}"#);
@@ -350,14 +352,14 @@
         let (head, _) = read_http(&mut c.stream).unwrap();
         assert!(head.starts_with("HTTP/1.1 400"), "{case}: {head}");
     }
-    assert_eq!(s.script.came(), 0);
+    assert_eq!(s.script.parts_received(), 0);
     c.write(query("z", time, &good).as_bytes());
     assert!(read_http(&mut c.stream).unwrap().0.starts_with("HTTP/1.1 200"));
 }
 
 #[test]
 fn clients_that_ask_once_and_stay_make_room_for_those_that_come_next() {
-    let s = serve(Wire::Http, Wire::Http, 100);
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
     // A quarter of the 96 descriptors.
     let mut stay: Vec<Client> = (0..24).map(|_| s.client()).collect();
     for client in &mut stay {
@@ -374,7 +376,7 @@
 
 #[test]
 fn a_body_that_is_too_large_is_refused_while_it_is_still_coming() {
-    for (wire, nodes) in [(Wire::Http, Wire::Http), (Wire::Sru, Wire::Sru)] {
+    for (wire, nodes) in [(WireProtocol::Http, WireProtocol::Http), (WireProtocol::Sru, WireProtocol::Sru)] {
         let s = serve(wire, nodes, 100);
         let mut c = TcpStream::connect(s.addr).unwrap();
         c.write_all(b"POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n").unwrap();
@@ -388,17 +390,17 @@
 
 #[test]
 fn a_spoilt_answer_ends_its_connection_at_once_and_its_part_is_served_elsewhere() {
-    for act in [Act::Noise, Act::Stall, Act::Stray, Act::Twice] {
-        let s = serve(Wire::Http, Wire::Http, 100);
+    for act in [Behaviour::Garbage, Behaviour::Truncated, Behaviour::UnknownQuery, Behaviour::Duplicate] {
+        let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
         s.script.set(&[1], &[0, 1, 2], act);
         let mut c = s.client();
-        while s.script.came_to(1) == 0 {
+        while s.script.parts_received_by(1) == 0 {
             assert_eq!(c.ask("whole"), Reply::Whole, "{act:?}");
         }
         // An idle connection would stand for 27 s.
         let ended = (0..1000).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
-            s.script.ended() > 0
+            s.script.closed_connections() > 0
         });
         assert!(ended, "{act:?}");
     }
@@ -406,8 +408,8 @@
 
 #[test]
 fn the_id_of_another_query_gets_an_answer_of_its_own_and_harms_neither() {
-    let s = serve(Wire::Http, Wire::Http, 100);
-    s.script.set(&[0, 1, 2], &[0], Act::Late(500));
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    s.script.set(&[0, 1, 2], &[0], Behaviour::Delayed(500));
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"t"}"#;
     let same = query("same", "Req-Deadline: 20000m\r\n", body);
     let (mut first, mut second) = (s.client(), s.client());
@@ -424,11 +426,12 @@
 }
 
 /// A broker whose 96 descriptors leave 32 for connections to its 40 servers, each the one holder of its partition.
-fn serve_wide(act: Act) -> Served {
+fn serve_wide(act: Behaviour) -> Served {
     const NODES: usize = 40;
-    let script = Script::default();
+    let script = NodeScript::default();
     script.set(&(0..NODES).collect::<Vec<_>>(), &(0..NODES as u32).collect::<Vec<_>>(), act);
-    let nodes: Vec<_> = (0..NODES).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let nodes: Vec<_> =
+        (0..NODES).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let told = platform_config(&nodes, 100, None);
     let told = told.replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":40,"slices":40,"span":1"#);
     serve_told(&told, script)
@@ -445,35 +448,35 @@
 
 #[test]
 fn more_servers_than_connections_are_all_reached_and_none_is_blamed() {
-    let s = serve_wide(Act::Serve);
+    let s = serve_wide(Behaviour::Serve);
     let mut c = s.client();
     for ask in 0..120 {
         let partition = ask % 40;
         let head = ask_for(&mut c, &format!("q{ask}"), partition..partition + 1);
         assert!(head.starts_with("HTTP/1.1 200"), "query {ask}: {head}");
     }
-    assert_eq!(s.script.came(), 120, "nothing was lost and tried again");
+    assert_eq!(s.script.parts_received(), 120, "nothing was lost and tried again");
 }
 
 #[test]
 fn a_query_over_more_servers_than_connections_ends_at_once_and_the_next_is_served() {
-    let s = serve_wide(Act::Late(200));
+    let s = serve_wide(Behaviour::Delayed(200));
     let mut c = s.client();
     // Eight parts find no connection. That is refused, as nothing of it was lost on a server.
     assert!(ask_for(&mut c, "all", 0..40).starts_with("HTTP/1.1 503"));
     // Servers to which nothing could be sent are as good as before: each is asked at the first try.
     for (id, partitions) in [("first", 0..20), ("last", 20..40)] {
-        let before = s.script.came();
+        let before = s.script.parts_received();
         assert!(ask_for(&mut c, id, partitions).starts_with("HTTP/1.1 200"));
-        assert_eq!(s.script.came() - before, 20);
+        assert_eq!(s.script.parts_received() - before, 20);
     }
 }
 
 #[test]
 fn whoever_asks_while_all_places_are_taken_gets_a_whole_answer() {
     // 96 descriptors leave 32 places for clients, and up to 16 more for a moment.
-    let s = serve(Wire::Http, Wire::Http, 1000);
-    s.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(1000));
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 1000);
+    s.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(1000));
     let mut clients: Vec<Client> = (0..70).map(|_| s.client()).collect();
     clients.iter_mut().for_each(|c| c.send("whole", "raga"));
     let replies: Vec<Reply> = clients.iter_mut().map(Client::reply).collect();
@@ -484,7 +487,7 @@
 
 #[test]
 fn who_has_to_go_before_it_has_asked_is_told_when_to_come_back() {
-    let s = serve(Wire::Http, Wire::Http, 100);
+    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
     let mut first = TcpStream::connect(s.addr).unwrap();
     let crowd: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(s.addr).unwrap()).collect();
     let (head, _) = read_http(&mut first).unwrap();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -8,9 +8,9 @@
 use pebbleturn::net::Waker;
 use pebbleturn::server::BrokerError;
 use pebbleturn::storage::snapshot_store;
-use pebbleturn_lab::demo::{by_sru, by_z3950};
-use pebbleturn_lab::directory::{Directory, Mode, line};
-use pebbleturn_lab::standins::{Script, Wire, node};
+use pebbleturn_lab::demo::{search_over_sru, search_over_z3950};
+use pebbleturn_lab::directory::{Directory, Mode, endpoint};
+use pebbleturn_lab::standins::{NodeScript, WireProtocol, node};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
 use std::sync::mpsc;
@@ -25,16 +25,16 @@
 
 struct Fleet {
     nodes: Vec<SocketAddr>,
-    script: Script,
+    script: NodeScript,
     directory: Directory,
 }
 
 impl Fleet {
     /// Four nodes in three cells, two of them in cell 0; the last is not listed yet.
     fn new() -> Fleet {
-        let script = Script::default();
-        let nodes: Vec<SocketAddr> = (0..4).map(|n| node(Wire::Sru, n, script.clone())).collect();
-        let listed = (0..3).map(|n| line(&format!("n-{n}"), nodes[n], "sru", n as u32, NodeState::Ready));
+        let script = NodeScript::default();
+        let nodes: Vec<SocketAddr> = (0..4).map(|n| node(WireProtocol::Sru, n, script.clone())).collect();
+        let listed = (0..3).map(|n| endpoint(&format!("n-{n}"), nodes[n], "sru", n as u32, NodeState::Ready));
         let directory = Directory::start(listed.collect());
         Fleet { nodes, script, directory }
     }
@@ -42,17 +42,17 @@
     /// Number of attempts that have reached a node, once no more arrive. Call it only while no client sends
     /// requests.
     fn settled_attempts(&self, n: usize) -> usize {
-        let mut count = self.script.came_to(n);
+        let mut count = self.script.parts_received_by(n);
         wait_until("all attempts have arrived", || {
             std::thread::sleep(ARRIVAL_TIME);
-            let earlier = std::mem::replace(&mut count, self.script.came_to(n));
+            let earlier = std::mem::replace(&mut count, self.script.parts_received_by(n));
             earlier == count
         });
         count
     }
 
     fn report_state(&self, n: usize, state: NodeState) {
-        self.directory.change(line(&format!("n-{n}"), self.nodes[n], "sru", n as u32 % 3, state));
+        self.directory.change(endpoint(&format!("n-{n}"), self.nodes[n], "sru", n as u32 % 3, state));
     }
 }
 
@@ -92,7 +92,7 @@
 
     /// Sends one search and returns whether it was answered.
     fn serves(&self) -> bool {
-        by_sru(self.sru).unwrap().starts_with("HTTP/1.1 200")
+        search_over_sru(self.sru).unwrap().starts_with("HTTP/1.1 200")
     }
 
     fn wait_until_serving(&self) {
@@ -120,7 +120,7 @@
 #[test]
 fn nodes_are_added_drained_and_removed_without_ending_a_session() {
     use pebbleturn::frontends::catalogue::apdu::Apdu;
-    use pebbleturn_lab::demo::{self, init};
+    use pebbleturn_lab::demo::{self, init_request};
     use pebbleturn_lab::standins::read_apdu;
     use std::io::Write;
     let fleet = Fleet::new();
@@ -132,9 +132,9 @@
         session.write_all(&apdu.encode()).unwrap();
         read_apdu(&mut session).expect("the session continues")
     };
-    assert!(matches!(exchange(init()), Apdu::InitResponse(r) if r.accepted));
+    assert!(matches!(exchange(init_request()), Apdu::InitResponse(r) if r.accepted));
     let mut search = || {
-        let Apdu::SearchResponse(r) = exchange(demo::search()) else { panic!("no SearchResponse") };
+        let Apdu::SearchResponse(r) = exchange(demo::search_request()) else { panic!("no SearchResponse") };
         assert!(r.success && r.count == 9, "{r:?}");
     };
     search();
@@ -144,7 +144,7 @@
     fleet.report_state(3, NodeState::Ready);
     wait_until("the new node receives attempts", || {
         search();
-        fleet.script.came_to(3) > 0
+        fleet.script.parts_received_by(3) > 0
     });
     // The other attempt of a hedged request may still be in flight. While no client sends requests, no new
     // attempts are sent.
@@ -153,7 +153,7 @@
     assert_eq!(fleet.settled_attempts(0), before, "a draining node receives no new attempts");
     fleet.report_state(0, NodeState::Gone);
     fleet.report_state(1, NodeState::Gone);
-    let attempts = || fleet.script.came_to(1);
+    let attempts = || fleet.script.parts_received_by(1);
     wait_until("the other removed node receives no more attempts", || {
         let before = attempts();
         (0..10).for_each(|_| search());
@@ -177,26 +177,29 @@
     wait_until("the drain is stored", || has_drain(&snapshot_store::read_path(dir.path()).snapshots));
     first.stop();
 
-    fleet.directory.mode(Mode::Down);
+    fleet.directory.set_mode(Mode::Down);
     let second = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
-    let before = fleet.script.came_to(0);
+    let before = fleet.script.parts_received_by(0);
     for _ in 0..20 {
         assert!(second.serves());
-        assert!(by_z3950(second.z3950).unwrap().starts_with("9 hits"));
+        assert!(search_over_z3950(second.z3950).unwrap().starts_with("9 hits"));
     }
-    assert_eq!(fleet.script.came_to(0), before);
+    assert_eq!(fleet.script.parts_received_by(0), before);
     // Discovery returns, numbers its versions from 1 again and reports an old state of that node: the drain
     // still applies.
-    let list = (0..4).map(|n| line(&format!("n-{n}"), fleet.nodes[n], "sru", n as u32 % 3, NodeState::Ready));
-    fleet.directory.count_anew(list.collect());
-    fleet.directory.mode(Mode::Up);
-    let calls_before = fleet.directory.asked().len();
-    wait_until("discovery is called again", || fleet.directory.asked().len() > calls_before);
+    let list =
+        (0..4).map(|n| endpoint(&format!("n-{n}"), fleet.nodes[n], "sru", n as u32 % 3, NodeState::Ready));
+    fleet.directory.restart_with(list.collect());
+    fleet.directory.set_mode(Mode::Up);
+    let calls_before = fleet.directory.call_times().len();
+    wait_until("discovery is called again", || fleet.directory.call_times().len() > calls_before);
     (0..20).for_each(|_| assert!(second.serves()));
-    assert_eq!(fleet.script.came_to(0), before);
+    assert_eq!(fleet.script.parts_received_by(0), before);
     // The next change that discovery reports for the node takes effect.
     fleet.report_state(0, NodeState::Ready);
-    wait_until("the node receives attempts again", || second.serves() && fleet.script.came_to(0) > before);
+    wait_until("the node receives attempts again", || {
+        second.serves() && fleet.script.parts_received_by(0) > before
+    });
     second.stop();
 }
 
@@ -206,11 +209,11 @@
     for name in [snapshot_store::CURRENT, snapshot_store::OLDER] {
         std::fs::write(dir.path().join(name), "pebbleturn-roster 1 12 00000000\nnot so long").unwrap();
     }
-    fleet.directory.mode(Mode::Refusing);
+    fleet.directory.set_mode(Mode::Refusing);
     let nodes: Vec<(SocketAddr, &str)> = fleet.nodes[..3].iter().map(|a| (*a, "sru")).collect();
     let broker = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &nodes);
     assert!(broker.serves());
-    fleet.directory.mode(Mode::Up);
+    fleet.directory.set_mode(Mode::Up);
     wait_until("a valid list is stored", || !snapshot_store::read_path(dir.path()).snapshots.is_empty());
     broker.stop();
 }
@@ -238,16 +241,16 @@
         fleet.report_state(0, NodeState::Terminating);
         // The drain has taken effect once only the other holders receive attempts.
         wait_until("the drain takes effect", || {
-            let before = fleet.script.came_to(0);
-            (0..10).all(|_| first.serves()) && fleet.script.came_to(0) == before
+            let before = fleet.script.parts_received_by(0);
+            (0..10).all(|_| first.serves()) && fleet.script.parts_received_by(0) == before
         });
         first.stop();
-        fleet.directory.mode(mode);
-        let before = fleet.script.came_to(0);
+        fleet.directory.set_mode(mode);
+        let before = fleet.script.parts_received_by(0);
         let second = RunningBroker::start(&discovery_and_store(&fleet.directory, dir.path()), &[]);
         (0..20).for_each(|_| assert!(second.serves(), "{mode:?}"));
         assert_eq!(
-            fleet.script.came_to(0),
+            fleet.script.parts_received_by(0),
             before,
             "{mode:?}: the first broker stored the drain when it stopped"
         );
@@ -263,7 +266,7 @@
         let broker = RunningBroker::start("", &nodes);
         for _ in 0..5 {
             let start = Instant::now();
-            let answer = by_sru(broker.sru).unwrap();
+            let answer = search_over_sru(broker.sru).unwrap();
             assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
             // Without an immediate rejection the request takes until its deadline of 20 s.
             assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
--- a/tests/operation/catalogue.rs
+++ b/tests/operation/catalogue.rs
@@ -1,14 +1,14 @@
 //! The catalogue broker: admin endpoint and hot restart.
 
 use super::PROGRAM;
-use pebbleturn_lab::demo::by_sru;
+use pebbleturn_lab::demo::search_over_sru;
 use pebbleturn_lab::running::*;
-use pebbleturn_lab::standins::{Script, Wire, node};
+use pebbleturn_lab::standins::{NodeScript, WireProtocol, node};
 use std::net::{SocketAddr, TcpListener};
 use std::process::Command;
 
 struct Catalogue {
-    script: Script,
+    script: NodeScript,
     nodes: Vec<SocketAddr>,
     listener: TcpListener,
     tmp: tempfile::TempDir,
@@ -16,8 +16,8 @@
 
 impl Catalogue {
     fn new() -> Catalogue {
-        let script = Script::default();
-        let nodes = (0..3).map(|n| node(Wire::Sru, n, script.clone())).collect();
+        let script = NodeScript::default();
+        let nodes = (0..3).map(|n| node(WireProtocol::Sru, n, script.clone())).collect();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         Catalogue { script, nodes, listener, tmp: tempfile::tempdir().unwrap() }
     }
@@ -42,12 +42,12 @@
         command.args(["-c", "exec \"$0\" \"$@\" 4<&0 0</dev/null", PROGRAM]);
         command.args(["serve", "catalogue"]).arg(path);
         let process = Process::start(&mut command, &self.listener, admin_addr);
-        until("the process serves", || process.call("STATUS").starts_with("SUCCESS"));
+        until("the process serves", || process.admin_request("STATUS").starts_with("SUCCESS"));
         process
     }
 
     fn serves(&self) -> bool {
-        by_sru(self.listener.local_addr().unwrap()).unwrap().starts_with("HTTP/1.1 200")
+        search_over_sru(self.listener.local_addr().unwrap()).unwrap().starts_with("HTTP/1.1 200")
     }
 }
 
@@ -57,22 +57,24 @@
     let mut old = site.start();
     assert!((0..5).all(|_| site.serves()));
     until("the metrics match", || {
-        let metrics = old.figures();
-        metrics["ok"]["c"] == 5 && metrics["tries"] == site.script.came() && metrics["pool_size"] == 3
+        let metrics = old.metrics();
+        metrics["ok"]["c"] == 5
+            && metrics["tries"] == site.script.parts_received()
+            && metrics["pool_size"] == 3
     });
-    old.says_yes("SUSPEND n-1");
-    assert!(old.says_no("SUSPEND nobody").contains("never listed"));
-    let before = site.script.came_to(1);
+    old.expect_success("SUSPEND n-1");
+    assert!(old.expect_failure("SUSPEND nobody").contains("never listed"));
+    let before = site.script.parts_received_by(1);
     assert!((0..10).all(|_| site.serves()));
     let new = site.start();
-    old.ends();
-    assert_eq!(new.figures()["pool_ejected"], 1);
+    old.wait_for_exit();
+    assert_eq!(new.metrics()["pool_ejected"], 1);
     assert!((0..10).all(|_| site.serves()));
-    assert_eq!(site.script.came_to(1), before);
-    new.says_yes("RESTORE n-1");
-    until("the restored node is used again", || site.serves() && site.script.came_to(1) > before);
-    new.says_yes("PAUSE");
-    until("the broker is not ready", || !ready(site.listener.local_addr().unwrap()));
-    new.says_yes("RESUME");
-    until("the broker is ready", || ready(site.listener.local_addr().unwrap()));
+    assert_eq!(site.script.parts_received_by(1), before);
+    new.expect_success("RESTORE n-1");
+    until("the restored node is used again", || site.serves() && site.script.parts_received_by(1) > before);
+    new.expect_success("PAUSE");
+    until("the broker is not ready", || !is_ready(site.listener.local_addr().unwrap()));
+    new.expect_success("RESUME");
+    until("the broker is ready", || is_ready(site.listener.local_addr().unwrap()));
 }
--- a/tests/operation/processes.rs
+++ b/tests/operation/processes.rs
@@ -14,24 +14,24 @@
     let connect_timeout = std::time::Duration::from_millis(50);
     let idle: Vec<TcpStream> = (0..1000)
         .filter_map(|n| {
-            let mut s = TcpStream::connect_timeout(&process.ops, connect_timeout).ok()?;
+            let mut s = TcpStream::connect_timeout(&process.admin_addr, connect_timeout).ok()?;
             // Some send a part of a request, some nothing.
             let _ = s.write_all(&b"STAT"[..n % 5]);
             Some(s)
         })
         .collect();
     assert!(idle.len() > 100, "{}", idle.len());
-    process.says_yes("STATUS");
-    assert!(process.says_no("DANCE").contains("unknown call"));
-    assert!(process.says_no("SUSPEND").contains("needs the id"));
-    assert!(process.says_no("SUSPEND nobody").contains("never listed"));
-    assert!(process.says_no(&"x".repeat(100_000)).contains("more than"));
+    process.expect_success("STATUS");
+    assert!(process.expect_failure("DANCE").contains("unknown call"));
+    assert!(process.expect_failure("SUSPEND").contains("needs the id"));
+    assert!(process.expect_failure("SUSPEND nobody").contains("never listed"));
+    assert!(process.expect_failure(&"x".repeat(100_000)).contains("more than"));
     drop(idle);
-    let mut slow = TcpStream::connect(process.ops).unwrap();
+    let mut slow = TcpStream::connect(process.admin_addr).unwrap();
     slow.set_nodelay(true).unwrap();
     for byte in b"STATUS\n" {
         slow.write_all(&[*byte]).unwrap();
-        process.says_yes("STATUS");
+        process.expect_success("STATUS");
     }
     let mut answer = String::new();
     slow.read_to_string(&mut answer).unwrap();
@@ -42,20 +42,20 @@
 fn metrics_match_what_clients_received_and_servers_got() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let mut client = Client::connect(site.door());
+    let mut client = Client::connect(site.listen_addr());
     for _ in 0..20 {
-        assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+        assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     }
-    process.says_yes("SUSPEND s-0");
-    process.says_yes("SUSPEND s-1");
+    process.expect_success("SUSPEND s-0");
+    process.expect_success("SUSPEND s-1");
     // Both replicas of shard 0 are suspended.
-    assert!(client.ask().unwrap().starts_with("HTTP/1.1 503"));
+    assert!(client.query().unwrap().starts_with("HTTP/1.1 503"));
     until("the metrics match", || {
-        let metrics = process.figures();
+        let metrics = process.metrics();
         let n = |name: &str| metrics[name].as_u64().or(metrics[name]["c"].as_u64()).unwrap();
         let counts = [n("ok"), n("shed"), n("errors"), n("active")];
         counts == [20, 1, 0, 0]
-            && n("tries") == site.script.came() as u64
+            && n("tries") == site.script.parts_received() as u64
             && (n("pool_size"), n("pool_ejected")) == (3, 2)
     });
 }
@@ -64,39 +64,41 @@
 fn suspended_node_gets_no_work_until_it_is_restored_once() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let mut client = Client::connect(site.door());
-    process.says_yes("SUSPEND s-1");
-    process.says_yes("SUSPEND s-1");
-    let before = site.script.came_to(1);
+    let mut client = Client::connect(site.listen_addr());
+    process.expect_success("SUSPEND s-1");
+    process.expect_success("SUSPEND s-1");
+    let before = site.script.parts_received_by(1);
     let expect_answers = |client: &mut Client| {
         for _ in 0..20 {
-            assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+            assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
         }
     };
     expect_answers(&mut client);
     process.signal("-HUP");
-    process.wait("discovery stays addr=");
+    process.wait_for_log("discovery stays addr=");
     expect_answers(&mut client);
-    assert_eq!(site.script.came_to(1), before);
-    process.says_yes("RESTORE s-1");
-    until("the restored node is used again", || client.ask().is_some() && site.script.came_to(1) > before);
+    assert_eq!(site.script.parts_received_by(1), before);
+    process.expect_success("RESTORE s-1");
+    until("the restored node is used again", || {
+        client.query().is_some() && site.script.parts_received_by(1) > before
+    });
 }
 
 #[test]
 fn pause_drains_clients_without_losing_a_request_and_ends_on_resume() {
     let site = Site::new(PROGRAM);
     let mut process = site.start();
-    let door = site.door();
+    let door = site.listen_addr();
     let mut busy = Client::connect(door);
-    assert!(busy.ask().unwrap().starts_with("HTTP/1.1 200"));
+    assert!(busy.query().unwrap().starts_with("HTTP/1.1 200"));
     let mut idle = Client::connect(door);
-    assert!(idle.ask().unwrap().starts_with("HTTP/1.1 200"));
-    assert!(ready(door));
-    process.says_yes("PAUSE");
-    assert!(!ready(door));
+    assert!(idle.query().unwrap().starts_with("HTTP/1.1 200"));
+    assert!(is_ready(door));
+    process.expect_success("PAUSE");
+    assert!(!is_ready(door));
     // A client that keeps sending is answered, and the last answer on its connection has `Connection: close`.
     let mut ended = false;
-    until("the busy connection is closed", || match busy.ask() {
+    until("the busy connection is closed", || match busy.query() {
         Some(head) => {
             assert!(head.starts_with("HTTP/1.1 200"), "{head}");
             ended = head.contains("Connection: close");
@@ -105,26 +107,26 @@
         }
         None => panic!("the connection was closed without an answer"),
     });
-    assert!(idle.ends_unasked());
-    assert!(!ready(door) && process.call("STATUS").starts_with("SUCCESS"));
+    assert!(idle.is_closed_without_response());
+    assert!(!is_ready(door) && process.admin_request("STATUS").starts_with("SUCCESS"));
     // A client that still connects is answered.
-    assert!(Client::connect(door).ask().unwrap().contains("Connection: close"));
-    process.says_yes("RESUME");
-    assert!(ready(door));
+    assert!(Client::connect(door).query().unwrap().contains("Connection: close"));
+    process.expect_success("RESUME");
+    assert!(is_ready(door));
     let mut again = Client::connect(door);
     for _ in 0..3 {
-        assert!(!again.ask().unwrap().contains("Connection: close"));
+        assert!(!again.query().unwrap().contains("Connection: close"));
     }
     // A resume directly after the pause works too.
-    process.says_yes("PAUSE");
-    process.says_yes("RESUME");
-    assert!(ready(door) && again.ask().unwrap().starts_with("HTTP/1.1 200"));
+    process.expect_success("PAUSE");
+    process.expect_success("RESUME");
+    assert!(is_ready(door) && again.query().unwrap().starts_with("HTTP/1.1 200"));
     // A shutdown that begins during a pause can't be resumed.
-    process.says_yes("PAUSE");
+    process.expect_success("PAUSE");
     process.signal("-TERM");
-    process.wait("graceful shutdown begins");
-    assert!(process.says_no("RESUME").contains("ends") && !ready(door));
-    process.ends();
+    process.wait_for_log("graceful shutdown begins");
+    assert!(process.expect_failure("RESUME").contains("ends") && !is_ready(door));
+    process.wait_for_exit();
 }
 
 fn operate(args: &[&str]) -> (Option<i32>, String, String) {
@@ -137,9 +139,9 @@
 fn operate_command_prints_responses_for_people_and_scripts() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let ops = process.ops.to_string();
-    let mut client = Client::connect(site.door());
-    assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+    let ops = process.admin_addr.to_string();
+    let mut client = Client::connect(site.listen_addr());
+    assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     assert_eq!(operate(&[&ops, "status"]), (Some(0), "serving\n".into(), String::new()));
     let (code, out, _) = operate(&[&ops, "metrics"]);
     assert!(code == Some(0) && out.lines().any(|l| l.split_whitespace().eq(["c", "1", "0", "0"])), "{out}");
@@ -161,34 +163,34 @@
 
 #[test]
 fn operate_command_waits_until_no_attempt_is_in_flight_and_no_client_connected() {
-    use pebbleturn_lab::standins::Act;
+    use pebbleturn_lab::standins::Behaviour;
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let ops = process.ops.to_string();
+    let ops = process.admin_addr.to_string();
     // Both replicas of shard 0 answer late.
     let (first, second) = (0, 2);
-    site.script.set(&[first, second], &[0], Act::Late(1500));
-    let mut client = Client::connect(site.door());
+    site.script.set(&[first, second], &[0], Behaviour::Delayed(1500));
+    let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
-    until("the parts are sent", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.parts_received() >= 3);
     assert_eq!(operate(&[&ops, "suspend", "s-0", "--wait", "--within", "60"]).0, Some(0));
     assert_eq!(operate(&[&ops, "suspend", "s-2", "--wait", "--within", "60"]).0, Some(0));
-    assert_eq!(process.call("OUT s-0"), "SUCCESS 0\n");
-    assert!(client.answer().unwrap().starts_with("HTTP/1.1 200"));
+    assert_eq!(process.admin_request("OUT s-0"), "SUCCESS 0\n");
+    assert!(client.read_response().unwrap().starts_with("HTTP/1.1 200"));
     // An idle client is disconnected; one that waits for its answer receives it first.
-    site.script.set(&[first, second], &[0], Act::Late(2500));
-    process.says_yes("RESTORE s-0");
-    process.says_yes("RESTORE s-2");
-    let mut busy = Client::connect(site.door());
-    let before = site.script.came();
+    site.script.set(&[first, second], &[0], Behaviour::Delayed(2500));
+    process.expect_success("RESTORE s-0");
+    process.expect_success("RESTORE s-2");
+    let mut busy = Client::connect(site.listen_addr());
+    let before = site.script.parts_received();
     busy.send().unwrap();
-    until("the parts are sent", || site.script.came() >= before + 3);
+    until("the parts are sent", || site.script.parts_received() >= before + 3);
     let (code, out, stderr) = operate(&[&ops, "pause", "--wait", "--within", "60"]);
     assert!(
         code == Some(0) && !out.is_empty() && stderr.contains("clients are connected"),
         "{code:?} {out} {stderr}"
     );
-    assert!(busy.answer().unwrap().starts_with("HTTP/1.1 200"));
+    assert!(busy.read_response().unwrap().starts_with("HTTP/1.1 200"));
     // A wait that times out has an exit code of its own.
     assert_eq!(operate(&[&ops, "status", "--wait", "--within", "1"]).0, Some(4));
     assert_eq!(operate(&[&ops, "resume", "--wait", "--within", "60"]).0, Some(0));
@@ -198,101 +200,106 @@
 fn with_all_nodes_suspended_queries_are_rejected_at_once_with_retry_after() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let mut client = Client::connect(site.door());
+    let mut client = Client::connect(site.listen_addr());
     for n in 0..3 {
-        process.says_yes(&format!("SUSPEND s-{n}"));
+        process.expect_success(&format!("SUSPEND s-{n}"));
     }
     for _ in 0..5 {
-        let head = client.ask().unwrap();
+        let head = client.query().unwrap();
         assert!(head.starts_with("HTTP/1.1 503") && head.contains("Retry-After"), "{head}");
     }
-    assert_eq!((site.script.came(), process.figures()["pool_ejected"].as_u64()), (0, Some(3)));
+    assert_eq!((site.script.parts_received(), process.metrics()["pool_ejected"].as_u64()), (0, Some(3)));
     for n in 0..3 {
-        process.says_yes(&format!("RESTORE s-{n}"));
+        process.expect_success(&format!("RESTORE s-{n}"));
     }
-    until("the broker serves again", || client.ask().unwrap().starts_with("HTTP/1.1 200"));
+    until("the broker serves again", || client.query().unwrap().starts_with("HTTP/1.1 200"));
 }
 
 #[test]
 fn node_that_moves_while_it_is_suspended_stays_suspended() {
     use pebbleturn::membership::NodeState;
-    use pebbleturn_lab::directory::line;
-    use pebbleturn_lab::standins::{Wire, node};
+    use pebbleturn_lab::directory::endpoint;
+    use pebbleturn_lab::standins::{WireProtocol, node};
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let mut client = Client::connect(site.door());
-    let moved = node(Wire::Http, 7, site.script.clone());
-    site.directory.change(line("s-1", moved, "", 1, NodeState::Ready));
-    process.says_yes("SUSPEND s-1");
-    process.wait("node has moved to another address");
-    let before = site.script.came_to(1) + site.script.came_to(7);
+    let mut client = Client::connect(site.listen_addr());
+    let moved = node(WireProtocol::Http, 7, site.script.clone());
+    site.directory.change(endpoint("s-1", moved, "", 1, NodeState::Ready));
+    process.expect_success("SUSPEND s-1");
+    process.wait_for_log("node has moved to another address");
+    let before = site.script.parts_received_by(1) + site.script.parts_received_by(7);
     for _ in 0..20 {
-        assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+        assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     }
-    assert_eq!(site.script.came_to(1) + site.script.came_to(7), before);
+    assert_eq!(site.script.parts_received_by(1) + site.script.parts_received_by(7), before);
     // The node is removed and listed again: it stays suspended.
-    site.directory.change(line("s-1", moved, "", 1, NodeState::Gone));
-    until("the node is removed", || process.figures()["pool_size"] == 2);
-    site.directory.change(line("s-1", moved, "", 1, NodeState::Ready));
-    until("the node is listed again", || process.figures()["pool_size"] == 3);
+    site.directory.change(endpoint("s-1", moved, "", 1, NodeState::Gone));
+    until("the node is removed", || process.metrics()["pool_size"] == 2);
+    site.directory.change(endpoint("s-1", moved, "", 1, NodeState::Ready));
+    until("the node is listed again", || process.metrics()["pool_size"] == 3);
     for _ in 0..20 {
-        assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+        assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     }
-    assert_eq!(site.script.came_to(7), 0);
-    process.says_yes("RESTORE s-1");
-    until("the restored node is used again", || client.ask().is_some() && site.script.came_to(7) > 0);
+    assert_eq!(site.script.parts_received_by(7), 0);
+    process.expect_success("RESTORE s-1");
+    until("the restored node is used again", || {
+        client.query().is_some() && site.script.parts_received_by(7) > 0
+    });
 }
 
 #[test]
 fn restored_cold_node_gets_work_again_without_overload() {
     use pebbleturn::membership::NodeState;
-    use pebbleturn_lab::directory::line;
+    use pebbleturn_lab::directory::endpoint;
     let site = Site::new(PROGRAM);
     let process = site.start();
     let load = Load::start(&site, 6);
-    load.more(50);
-    process.says_yes("SUSPEND s-1");
+    load.wait_for_more(50);
+    process.expect_success("SUSPEND s-1");
     let addr = site.nodes[1];
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    let mut restarted = line("s-1", addr, "", 1, NodeState::Ready);
+    let mut restarted = endpoint("s-1", addr, "", 1, NodeState::Ready);
     restarted.started_ms = now.as_millis() as u64 + 500;
-    let before = site.script.came_to(1);
+    let before = site.script.parts_received_by(1);
     site.directory.change(restarted);
-    process.wait("endpoints=1 full=false");
-    process.says_yes("RESTORE s-1");
-    until("the restored node is used again", || site.script.came_to(1) > before);
-    load.more(50);
-    process.says_yes("SUSPEND s-1");
-    process.says_yes("RESTORE s-1");
-    let again = site.script.came_to(1);
-    until("the restored node is used once more", || site.script.came_to(1) > again);
-    assert_eq!((load.refused(), load.end()), (0, 0));
+    process.wait_for_log("endpoints=1 full=false");
+    process.expect_success("RESTORE s-1");
+    until("the restored node is used again", || site.script.parts_received_by(1) > before);
+    load.wait_for_more(50);
+    process.expect_success("SUSPEND s-1");
+    process.expect_success("RESTORE s-1");
+    let again = site.script.parts_received_by(1);
+    until("the restored node is used once more", || site.script.parts_received_by(1) > again);
+    assert_eq!((load.refused(), load.stop()), (0, 0));
 }
 
 #[test]
 fn pause_answers_partial_and_pipelined_requests() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let (mut half, mut ahead, mut never) =
-        (Client::connect(site.door()), Client::connect(site.door()), Client::connect(site.door()));
+    let (mut half, mut ahead, mut never) = (
+        Client::connect(site.listen_addr()),
+        Client::connect(site.listen_addr()),
+        Client::connect(site.listen_addr()),
+    );
     for client in [&mut half, &mut ahead] {
-        assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
+        assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     }
-    let (text, cut) = (half.request(), 60);
+    let (text, cut) = (half.next_request(), 60);
     half.stream.write_all(&text.as_bytes()[..cut]).unwrap();
     never.stream.write_all(b"POST /api HT").unwrap();
-    process.says_yes("PAUSE");
+    process.expect_success("PAUSE");
     let paused = std::time::Instant::now();
     half.stream.write_all(&text.as_bytes()[cut..]).unwrap();
-    assert!(half.answer().unwrap().starts_with("HTTP/1.1 200"));
+    assert!(half.read_response().unwrap().starts_with("HTTP/1.1 200"));
     // Three pipelined requests to slow servers, so that the first answers arrive while connections are being
     // closed.
-    use pebbleturn_lab::standins::Act;
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(400));
-    let three: String = (0..3).map(|_| ahead.request()).collect();
+    use pebbleturn_lab::standins::Behaviour;
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(400));
+    let three: String = (0..3).map(|_| ahead.next_request()).collect();
     ahead.stream.write_all(three.as_bytes()).unwrap();
     for n in 0..3 {
-        match ahead.answer() {
+        match ahead.read_response() {
             Some(head) => {
                 assert!(head.starts_with("HTTP/1.1 200"), "{head}");
                 let last = head.contains("Connection: close");
@@ -304,31 +311,31 @@
         }
     }
     // A client that never completes its request is closed, with no response other than a 408.
-    assert!(never.answer().is_none_or(|head| head.starts_with("HTTP/1.1 408")));
-    assert!(half.ends_unasked());
-    until("all clients are disconnected", || process.call("CLIENTS") == "SUCCESS 0\n");
-    process.says_yes("RESUME");
+    assert!(never.read_response().is_none_or(|head| head.starts_with("HTTP/1.1 408")));
+    assert!(half.is_closed_without_response());
+    until("all clients are disconnected", || process.admin_request("CLIENTS") == "SUCCESS 0\n");
+    process.expect_success("RESUME");
 }
 
 #[test]
 fn metrics_are_served_during_a_burst_and_during_a_drain() {
-    use pebbleturn_lab::standins::Act;
+    use pebbleturn_lab::standins::Behaviour;
     let site = Site::new(PROGRAM);
     let mut process = site.start();
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(400));
-    let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(site.door())).collect();
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(400));
+    let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(site.listen_addr())).collect();
     clients.iter_mut().for_each(|c| c.send().unwrap());
-    until("all queries are active", || process.figures()["active"] == 8);
+    until("all queries are active", || process.metrics()["active"] == 8);
     process.signal("-TERM");
-    process.wait("graceful shutdown begins");
-    assert!(process.says_no("STATUS").contains("ends"));
-    let mut last = process.figures();
-    let answers = clients.iter_mut().filter_map(Client::answer);
+    process.wait_for_log("graceful shutdown begins");
+    assert!(process.expect_failure("STATUS").contains("ends"));
+    let mut last = process.metrics();
+    let answers = clients.iter_mut().filter_map(Client::read_response);
     assert_eq!(answers.filter(|head| head.starts_with("HTTP/1.1 200")).count(), 8);
     drop(clients);
     // Until the process ends, each metrics response is complete and no counter decreases.
     loop {
-        let answer = process.call("METRICS");
+        let answer = process.admin_request("METRICS");
         let Some(line) = answer.strip_suffix("\nEOT\n") else { break };
         let now: serde_json::Value = serde_json::from_str(line).unwrap();
         assert!(now["ok"]["c"].as_u64() >= last["ok"]["c"].as_u64());
@@ -336,31 +343,31 @@
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     assert_eq!((&last["ok"]["c"], &last["active"]), (&8.into(), &0.into()));
-    process.ends();
+    process.wait_for_exit();
 }
 
 #[test]
 fn clients_with_partial_requests_in_all_buffers_do_not_block_responses() {
     let site = Site::new(PROGRAM);
     // 16 MB give 58 buffers of one message each, 44 of them for clients.
-    let process = site.begin_within((1000, 16));
+    let process = site.start_with_limits((1000, 16));
     until("the process serves and has the endpoint list", || {
-        process.call("STATUS").starts_with("SUCCESS") && process.figures()["pool_size"] == 3
+        process.admin_request("STATUS").starts_with("SUCCESS") && process.metrics()["pool_size"] == 3
     });
     let half = format!("POST /api HTTP/1.1\r\nContent-Length: 60000\r\n\r\n{}", " ".repeat(30_000));
     let partial_clients: Vec<Client> = (0..150)
         .map(|_| {
-            let mut client = Client::connect(site.door());
+            let mut client = Client::connect(site.listen_addr());
             // Fails where the connection was closed to free its buffer.
             let _ = client.stream.write_all(half.as_bytes());
             client
         })
         .collect();
-    let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(site.door())).collect();
+    let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(site.listen_addr())).collect();
     for client in &mut clients {
-        let head = client.ask().unwrap();
+        let head = client.query().unwrap();
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
-        process.says_yes("STATUS");
+        process.expect_success("STATUS");
     }
-    assert_eq!((process.figures()["ok"]["c"].as_u64(), partial_clients.len()), (Some(10), 150));
+    assert_eq!((process.metrics()["ok"]["c"].as_u64(), partial_clients.len()), (Some(10), 150));
 }
--- a/tests/operation/upgrades.rs
+++ b/tests/operation/upgrades.rs
@@ -8,85 +8,85 @@
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     let load = Load::start(&site, 6);
-    load.more(50);
+    load.wait_for_more(50);
     let mut lost = 0;
     for _ in 0..3 {
         let new = site.start();
         // The old process shuts down without a signal.
-        old.wait("another process serves at this address");
-        old.ends();
-        load.more(50);
-        assert!(ready(site.door()));
+        old.wait_for_log("another process serves at this address");
+        old.wait_for_exit();
+        load.wait_for_more(50);
+        assert!(is_ready(site.listen_addr()));
         old = new;
-        lost = load.lost() + load.refused();
+        lost = load.unanswered() + load.refused();
     }
-    assert_eq!((lost, load.end()), (0, 0));
+    assert_eq!((lost, load.stop()), (0, 0));
 }
 
 #[test]
 fn operator_commands_survive_two_upgrades_and_reach_running_processes() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    let mut client = Client::connect(site.door());
-    assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
-    old.says_yes("SUSPEND s-1");
-    let before = site.script.came_to(1);
+    let mut client = Client::connect(site.listen_addr());
+    assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
+    old.expect_success("SUSPEND s-1");
+    let before = site.script.parts_received_by(1);
     for _ in 0..2 {
         let new = site.start();
-        old.wait("another process serves at this address");
-        old.ends();
-        assert_eq!(new.figures()["pool_ejected"], 1);
+        old.wait_for_log("another process serves at this address");
+        old.wait_for_exit();
+        assert_eq!(new.metrics()["pool_ejected"], 1);
         for _ in 0..20 {
-            assert!(Client::connect(site.door()).ask().unwrap().starts_with("HTTP/1.1 200"));
+            assert!(Client::connect(site.listen_addr()).query().unwrap().starts_with("HTTP/1.1 200"));
         }
         old = new;
     }
-    assert_eq!(site.script.came_to(1), before);
+    assert_eq!(site.script.parts_received_by(1), before);
     // A command to one of two running processes reaches both. SIGSTOP keeps the old one from shutting down.
     old.signal("-STOP");
     let new = site.start();
-    new.says_yes("RESTORE s-1");
-    new.says_yes("SUSPEND s-2");
+    new.expect_success("RESTORE s-1");
+    new.expect_success("SUSPEND s-2");
     old.signal("-CONT");
-    old.wait("another process serves at this address");
+    old.wait_for_log("another process serves at this address");
     until("the restored node is used again", || {
-        Client::connect(site.door()).ask().unwrap().starts_with("HTTP/1.1 200")
-            && site.script.came_to(1) > before
+        Client::connect(site.listen_addr()).query().unwrap().starts_with("HTTP/1.1 200")
+            && site.script.parts_received_by(1) > before
     });
-    assert_eq!(new.figures()["pool_ejected"], 1);
+    assert_eq!(new.metrics()["pool_ejected"], 1);
 }
 
 #[test]
 fn command_to_the_old_process_reaches_the_new_one_that_serves() {
-    use pebbleturn_lab::standins::Act;
+    use pebbleturn_lab::standins::Behaviour;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     // A slow query keeps the old process running.
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(3000));
-    let mut client = Client::connect(site.door());
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
+    let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
-    until("the parts are sent", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.parts_received() >= 3);
     let new = site.start();
-    old.wait("another process serves at this address");
-    assert_eq!(new.figures()["pool_ejected"], 0);
-    old.says_yes("SUSPEND s-1");
-    until("the new process has the suspension", || new.figures()["pool_ejected"] == 1);
-    assert!(client.answer().unwrap().starts_with("HTTP/1.1 200"));
-    old.ends();
-    new.says_yes("RESTORE s-1");
-    assert_eq!(new.figures()["pool_ejected"], 0);
+    old.wait_for_log("another process serves at this address");
+    assert_eq!(new.metrics()["pool_ejected"], 0);
+    old.expect_success("SUSPEND s-1");
+    until("the new process has the suspension", || new.metrics()["pool_ejected"] == 1);
+    assert!(client.read_response().unwrap().starts_with("HTTP/1.1 200"));
+    old.wait_for_exit();
+    new.expect_success("RESTORE s-1");
+    assert_eq!(new.metrics()["pool_ejected"], 0);
 }
 
 #[test]
 fn pause_is_handed_over_and_ends_on_resume_at_either_process() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    old.says_yes("PAUSE");
+    old.expect_success("PAUSE");
     let new = site.start();
-    old.ends();
-    assert!(!ready(site.door()) && new.call("STATUS").contains("paused"));
-    new.says_yes("RESUME");
-    until("the broker is ready", || ready(site.door()));
+    old.wait_for_exit();
+    assert!(!is_ready(site.listen_addr()) && new.admin_request("STATUS").contains("paused"));
+    new.expect_success("RESUME");
+    until("the broker is ready", || is_ready(site.listen_addr()));
 }
 
 /// Guards against a lost pause. The old process is paused while the new one runs, and ends before the new one
@@ -95,34 +95,36 @@
 /// runs failed this way.
 #[test]
 fn pause_holds_though_its_process_ends_before_the_new_one_looks_again() {
-    use pebbleturn_lab::standins::Act;
+    use pebbleturn_lab::standins::Behaviour;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     // A slow query keeps the old process running.
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(3000));
-    let mut client = Client::connect(site.door());
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
+    let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
-    until("the parts are sent", || site.script.came() >= 3);
+    until("the parts are sent", || site.script.parts_received() >= 3);
     let new = site.start();
-    old.wait("another process serves at this address");
+    old.wait_for_log("another process serves at this address");
     new.signal("-STOP");
-    old.says_yes("PAUSE");
+    old.expect_success("PAUSE");
     let state = site.tmp.path().join("pebbleturn-handover").join("1.state");
     let is_paused = || std::fs::read_to_string(&state).unwrap_or_default().contains("\"pause\": {");
     until("the pause is written", is_paused);
     old.kill();
     new.signal("-CONT");
-    until("the new process is paused", || new.call("STATUS").contains("paused") && !ready(site.door()));
-    new.says_yes("RESUME");
-    until("the broker is ready", || ready(site.door()));
+    until("the new process is paused", || {
+        new.admin_request("STATUS").contains("paused") && !is_ready(site.listen_addr())
+    });
+    new.expect_success("RESUME");
+    until("the broker is ready", || is_ready(site.listen_addr()));
 }
 
 #[test]
 fn pause_ends_with_a_killed_process() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    old.says_yes("PAUSE");
-    old.says_yes("SUSPEND s-1");
+    old.expect_success("PAUSE");
+    old.expect_success("SUSPEND s-1");
     let dir = site.tmp.path().join("pebbleturn-handover");
     let state = || std::fs::read_to_string(dir.join("1.state")).unwrap_or_default();
     until("the overrides are written", || state().contains("s-1"));
@@ -130,10 +132,10 @@
     let new = site.start();
     // The state of the dead process is read at each poll until it is removed.
     until("the state of the dead process is removed", || {
-        assert_eq!(new.call("STATUS"), "SUCCESS serving\n");
+        assert_eq!(new.admin_request("STATUS"), "SUCCESS serving\n");
         !dir.join("1.state").exists()
     });
-    assert!(ready(site.door()) && new.figures()["pool_ejected"] == 1);
+    assert!(is_ready(site.listen_addr()) && new.metrics()["pool_ejected"] == 1);
 }
 
 #[test]
@@ -142,51 +144,51 @@
     let mut old = site.start();
     let load = Load::start(&site, 4);
     // Idle clients use half of the descriptors.
-    let idle: Vec<Client> = (0..60).map(|_| Client::connect(site.door())).collect();
-    old.says_yes("SUSPEND s-0");
+    let idle: Vec<Client> = (0..60).map(|_| Client::connect(site.listen_addr())).collect();
+    old.expect_success("SUSPEND s-0");
     for _ in 0..3 {
-        let mut killed = site.begin();
+        let mut killed = site.start_without_waiting();
         killed.kill();
-        load.more(10);
+        load.wait_for_more(10);
     }
-    assert!(!old.said("another process serves") || idle.len() == 60);
-    let mut hung = site.begin();
+    assert!(!old.has_logged("another process serves") || idle.len() == 60);
+    let mut hung = site.start_without_waiting();
     hung.signal("-STOP");
-    load.more(10);
+    load.wait_for_more(10);
     let third = site.start();
-    old.ends();
-    assert_eq!(third.figures()["pool_ejected"], 1);
-    load.more(20);
+    old.wait_for_exit();
+    assert_eq!(third.metrics()["pool_ejected"], 1);
+    load.wait_for_more(20);
     hung.kill();
-    load.more(20);
-    assert_eq!((load.refused(), load.end()), (0, 0));
+    load.wait_for_more(20);
+    assert_eq!((load.refused(), load.stop()), (0, 0));
 }
 
 #[test]
 fn killed_process_hands_listener_and_commands_to_the_new_one() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    old.says_yes("SUSPEND s-1");
+    old.expect_success("SUSPEND s-1");
     until("the suspension is written", || {
         let dir = site.tmp.path().join("pebbleturn-handover");
         let files =
             std::fs::read_dir(dir).unwrap().filter_map(|f| std::fs::read_to_string(f.ok()?.path()).ok());
         files.into_iter().any(|f| f.contains("s-1") && f.contains("\"out\": true"))
     });
-    let new = site.begin();
+    let new = site.start_without_waiting();
     old.kill();
-    until("the new process serves", || new.call("STATUS").starts_with("SUCCESS"));
-    until("the state is merged", || new.figures()["pool_size"] == 3 && new.figures()["pool_ejected"] == 1);
-    let mut client = Client::connect(site.door());
-    assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
-    assert_eq!(site.script.came_to(1), 0);
+    until("the new process serves", || new.admin_request("STATUS").starts_with("SUCCESS"));
+    until("the state is merged", || new.metrics()["pool_size"] == 3 && new.metrics()["pool_ejected"] == 1);
+    let mut client = Client::connect(site.listen_addr());
+    assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
+    assert_eq!(site.script.parts_received_by(1), 0);
 }
 
 #[test]
 fn damaged_state_of_an_earlier_process_is_one_log_line_and_the_start_continues() {
     let site = Site::new(PROGRAM);
     let mut old = site.start();
-    old.says_yes("SUSPEND s-1");
+    old.expect_success("SUSPEND s-1");
     let dir = site.tmp.path().join("pebbleturn-handover");
     let state = dir.join("1.state");
     until("the suspension is written", || {
@@ -197,9 +199,9 @@
     for (n, cut) in [0, 1, 40, whole.len() / 2, whole.len() - 1].into_iter().enumerate() {
         std::fs::write(&state, &whole[..cut]).unwrap();
         let new = site.start();
-        new.wait("hot restart state of an earlier process is not used");
-        assert!(new.said(&format!("process={}", n + 2)) && new.figures()["pool_ejected"] == 0);
-        assert!(Client::connect(site.door()).ask().unwrap().starts_with("HTTP/1.1 200"));
+        new.wait_for_log("hot restart state of an earlier process is not used");
+        assert!(new.has_logged(&format!("process={}", n + 2)) && new.metrics()["pool_ejected"] == 0);
+        assert!(Client::connect(site.listen_addr()).query().unwrap().starts_with("HTTP/1.1 200"));
         drop(new);
         for kind in ["state", "list", "lock"] {
             let _ = std::fs::remove_file(dir.join(format!("{}.{kind}", n + 2)));
@@ -210,7 +212,7 @@
     // The complete state is used.
     std::fs::write(&state, &whole).unwrap();
     let new = site.start();
-    assert_eq!(new.figures()["pool_ejected"], 1);
+    assert_eq!(new.metrics()["pool_ejected"], 1);
 }
 
 #[test]
@@ -218,20 +220,20 @@
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     // Idle clients up to the limit of one process, and some that send queries.
-    let idle: Vec<Client> = (0..190).map(|_| Client::connect(site.door())).collect();
+    let idle: Vec<Client> = (0..190).map(|_| Client::connect(site.listen_addr())).collect();
     let load = Load::start(&site, 4);
-    load.more(50);
-    let new = site.begin();
+    load.wait_for_more(50);
+    let new = site.start_without_waiting();
     // Before the new process executes the program, its descriptors are those of this test.
-    new.wait("at this address");
+    new.wait_for_log("at this address");
     let mut most = 0;
     until("the old process has shut down", || {
         most = most.max(old.descriptors() + new.descriptors());
-        old.said("graceful shutdown is complete")
+        old.has_logged("graceful shutdown is complete")
     });
-    old.ends();
-    load.more(50);
+    old.wait_for_exit();
+    load.wait_for_more(50);
     assert!(most <= 384, "the two processes held {most} descriptors");
     drop(idle);
-    assert_eq!(load.end(), 0);
+    assert_eq!(load.stop(), 0);
 }
--- a/tests/printed_formats/admin_endpoint.rs
+++ b/tests/printed_formats/admin_endpoint.rs
@@ -4,8 +4,8 @@
 use super::fixture;
 use super::placeholder::{Placeholders, hide_numbers};
 use pebbleturn_lab::cluster::bed::{Bed, name};
-use pebbleturn_lab::running::{Client, HANG, Site, until};
-use pebbleturn_lab::standins::Act;
+use pebbleturn_lab::running::{Client, HANG_TIMEOUT, Site, until};
+use pebbleturn_lab::standins::Behaviour;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
@@ -81,7 +81,7 @@
 /// One call and its answer.
 fn exchange(address: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream.write_all(&[line, b"\n"].concat()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
     let mut answer = String::new();
@@ -93,7 +93,7 @@
 fn a_broker_without_peers_answers_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let answers: String = CALLS_WITHOUT_PEERS.iter().map(|line| exchange(process.ops, line)).collect();
+    let answers: String = CALLS_WITHOUT_PEERS.iter().map(|line| exchange(process.admin_addr, line)).collect();
     fixture::assert_matches("admin_without_peers.txt", &answers);
 }
 
@@ -102,17 +102,17 @@
 fn a_broker_with_queries_and_one_that_ends_answer_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let mut client = Client::connect(site.door());
-    assert!(client.ask().unwrap().starts_with("HTTP/1.1 200"));
-    until("the query has ended", || process.figures()["active"] == 0);
-    let mut answers = exchange(process.ops, b"METRICS") + &exchange(process.ops, b"CLIENTS");
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Act::Late(3000));
+    let mut client = Client::connect(site.listen_addr());
+    assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
+    until("the query has ended", || process.metrics()["active"] == 0);
+    let mut answers = exchange(process.admin_addr, b"METRICS") + &exchange(process.admin_addr, b"CLIENTS");
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
     client.send().unwrap();
-    until("a query is open", || process.figures()["active"] == 1);
+    until("a query is open", || process.metrics()["active"] == 1);
     process.signal("-TERM");
-    process.wait("graceful shutdown begins");
+    process.wait_for_log("graceful shutdown begins");
     for line in [&b"STATUS"[..], b"RESUME", b"METRICS"] {
-        answers += &exchange(process.ops, line);
+        answers += &exchange(process.admin_addr, line);
     }
     fixture::assert_matches("admin_at_work.txt", &hide_numbers(&answers, &["tries"]));
 }
--- a/tests/printed_formats/commands.rs
+++ b/tests/printed_formats/commands.rs
@@ -117,7 +117,7 @@
 fn operate_prints_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let called = process.ops.to_string();
+    let called = process.admin_addr.to_string();
     let free = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = free.local_addr().unwrap().to_string();
     drop(free);
--- a/tests/printed_formats/network.rs
+++ b/tests/printed_formats/network.rs
@@ -4,8 +4,8 @@
 use super::fixture;
 use super::placeholder::Placeholders;
 use pebbleturn::membership::NodeState;
-use pebbleturn_lab::directory::line;
-use pebbleturn_lab::running::{HANG, Site, until};
+use pebbleturn_lab::directory::endpoint;
+use pebbleturn_lab::running::{HANG_TIMEOUT, Site, until};
 use pebbleturn_lab::standins::{listen, read_http};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -81,7 +81,7 @@
 
 fn answer(door: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(door).unwrap();
-    stream.set_read_timeout(Some(HANG)).unwrap();
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let (head, body) = read_http(&mut stream).unwrap();
     let bytes = |text: &str| text.as_bytes().escape_ascii().to_string().replace("\\r\\n", "\\r\\n\n");
@@ -94,16 +94,16 @@
     let (frames, requests) = (Recorded::default(), Recorded::default());
     for cell in 0..3 {
         let server = recording_server(frames.clone());
-        site.directory.change(line(&format!("s-{cell}"), server, "", cell, NodeState::Ready));
+        site.directory.change(endpoint(&format!("s-{cell}"), server, "", cell, NodeState::Ready));
     }
     site.directory.addr = recording_discovery(site.directory.addr, requests.clone());
     let process = site.start();
-    let mut sent: String = REQUESTS.iter().map(|request| answer(site.door(), request)).collect();
-    sent += &answer(site.door(), &query("1000000000000001"));
+    let mut sent: String = REQUESTS.iter().map(|request| answer(site.listen_addr(), request)).collect();
+    sent += &answer(site.listen_addr(), &query("1000000000000001"));
     let request = first(&frames, |frame| frame[4..].starts_with(b"R1")).unwrap();
     sent += &format!("shard server receives\n{}\n", hide_wait(&request));
     // The client of a query that nobody answers hangs up.
-    let mut client = TcpStream::connect(site.door()).unwrap();
+    let mut client = TcpStream::connect(site.listen_addr()).unwrap();
     client.write_all(query("2000000000000001").as_bytes()).unwrap();
     until("its part is out", || first(&frames, |frame| frame[4..].starts_with(b"R2")).is_some());
     client.shutdown(Shutdown::Both).unwrap();
--- a/tests/program.rs
+++ b/tests/program.rs
@@ -219,10 +219,10 @@
 
 #[test]
 fn sighup_reloads_the_nodes_file_and_ignores_an_unusable_one() {
-    use pebbleturn_lab::demo::by_sru;
-    use pebbleturn_lab::standins::{Script, Wire, node};
-    let script = Script::default();
-    let nodes: Vec<_> = (0..2).map(|n| node(Wire::Sru, n, script.clone())).collect();
+    use pebbleturn_lab::demo::search_over_sru;
+    use pebbleturn_lab::standins::{NodeScript, WireProtocol, node};
+    let script = NodeScript::default();
+    let nodes: Vec<_> = (0..2).map(|n| node(WireProtocol::Sru, n, script.clone())).collect();
     let entry = |n: usize, standing: &str| {
         format!(
             "[[node]]\nid = \"n-{n}\"\nprotocol = \"sru\"\naddress = \"{}\"\nzone = \"a\"\ncell = 0\nstanding = \"{standing}\"\n",
@@ -240,12 +240,12 @@
     let (child, mut lines) = Program::start(Command::new(PROGRAM).args(["serve", "catalogue", file.path()]));
     let line = wait_for(&mut lines, "for Sru");
     let addr = line.split(' ').find(|w| w.starts_with("127.")).unwrap().parse().unwrap();
-    let serves = || by_sru(addr).unwrap().starts_with("HTTP/1.1 200");
+    let serves = || search_over_sru(addr).unwrap().starts_with("HTTP/1.1 200");
     assert!(!serves(), "there is no node yet");
     std::fs::write(listed.path(), entry(0, "active")).unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "read again: 1 nodes");
-    assert!(serves() && script.came_to(0) > 0);
+    assert!(serves() && script.parts_received_by(0) > 0);
     std::fs::write(listed.path(), entry(0, "active") + "[[node]]\nid = 7\n").unwrap();
     signal(&child, "-HUP");
     let line = wait_for(&mut lines, "the nodes stay as they were");
@@ -254,8 +254,10 @@
     std::fs::write(listed.path(), entry(0, "draining") + &entry(1, "active")).unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "read again: 2 nodes");
-    let before = script.came_to(0);
-    assert!((0..10).all(|_| serves()) && script.came_to(0) == before && script.came_to(1) > 0);
+    let before = script.parts_received_by(0);
+    assert!(
+        (0..10).all(|_| serves()) && script.parts_received_by(0) == before && script.parts_received_by(1) > 0
+    );
     // A file that was half written when the signal came is read again without another one.
     std::fs::write(listed.path(), entry(0, "active") + "[[node]]\nid = ").unwrap();
     signal(&child, "-HUP");
@@ -267,29 +269,29 @@
 
 #[test]
 fn node_that_goes_down_and_recovers_is_logged_once_each() {
-    use pebbleturn_lab::demo::{by_sru, operator};
-    use pebbleturn_lab::standins::{Script, Wire, node, node_at};
-    let script = Script::default();
+    use pebbleturn_lab::demo::{operator_file, search_over_sru};
+    use pebbleturn_lab::standins::{NodeScript, WireProtocol, node, node_at};
+    let script = NodeScript::default();
     let closed = free_port();
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], closed));
     // Partition 0 is held by the first two, and so on round the ring.
     let nodes = [
-        (at, Wire::Sru),
-        (node(Wire::Sru, 1, script.clone()), Wire::Sru),
-        (node(Wire::Sru, 2, script.clone()), Wire::Sru),
+        (at, WireProtocol::Sru),
+        (node(WireProtocol::Sru, 1, script.clone()), WireProtocol::Sru),
+        (node(WireProtocol::Sru, 2, script.clone()), WireProtocol::Sru),
     ];
-    let file = File::new("down.toml", &operator(&nodes));
+    let file = File::new("down.toml", &operator_file(&nodes));
     let (child, mut lines) = Program::start(Command::new(PROGRAM).args(["serve", "catalogue", file.path()]));
     let line = wait_for(&mut lines, "for Sru");
     let addr = line.split(' ').find(|w| w.starts_with("127.")).unwrap().parse().unwrap();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
     let asking = std::thread::spawn(move || {
         while stopped.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
-            assert!(by_sru(addr).unwrap().starts_with("HTTP/1.1 200"), "the other holder serves");
+            assert!(search_over_sru(addr).unwrap().starts_with("HTTP/1.1 200"), "the other holder serves");
         }
     });
     wait_for(&mut lines, "node is unreachable node=node-0 addr=");
-    node_at(at, Wire::Sru, 0, script);
+    node_at(at, WireProtocol::Sru, 0, script);
     let line = wait_for(&mut lines, "reachable");
     let is_back = line.contains("node is reachable again node=node-0 addr=");
     assert!(is_back && line.contains(" unreachable_s="), "nothing more was logged meanwhile: {line}");
@@ -359,10 +361,11 @@
 #[test]
 fn platform_caches_the_list_only_with_a_directory() {
     use pebbleturn::membership::NodeState;
-    use pebbleturn_lab::directory::{Directory, Mode, line};
+    use pebbleturn_lab::directory::{Directory, Mode, endpoint};
     let dir = tempfile::tempdir().unwrap();
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
-    let directory = Directory::start(vec![line("s-9", node.local_addr().unwrap(), "", 0, NodeState::Ready)]);
+    let directory =
+        Directory::start(vec![endpoint("s-9", node.local_addr().unwrap(), "", 0, NodeState::Ready)]);
     let told = config(directory.addr.port(), "{}").replace("\"version\":1,", "\"version\":0,");
     let file = File::new("keeping", &told);
     let start = |keep: bool| {
@@ -380,7 +383,7 @@
         end(child, &mut lines);
         assert_eq!(files() > 0, keep);
     }
-    directory.mode(Mode::Down);
+    directory.set_mode(Mode::Down);
     let (child, mut lines) = start(true);
     let line = wait_for(&mut lines, "membership snapshot was restored");
     assert!(line.contains("nodes=1 ") && line.contains("trust=1.00"), "{line}");
@@ -391,13 +394,13 @@
 fn signals_and_a_replacement_are_handled_while_a_write_hangs() {
     use pebbleturn::membership::NodeState;
     use pebbleturn::storage::snapshot_store::{CURRENT, TEMPORARY};
-    use pebbleturn_lab::directory::{Directory, line};
+    use pebbleturn_lab::directory::{Directory, endpoint};
     let dir = tempfile::tempdir().unwrap();
     // Whoever opens a pipe to write waits until somebody reads: the disk that hangs.
     let pipe = dir.path().join(TEMPORARY);
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let node = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let directory = Directory::start(vec![line("s-9", node, "", 0, NodeState::Ready)]);
+    let directory = Directory::start(vec![endpoint("s-9", node, "", 0, NodeState::Ready)]);
     let file = File::new(
         "hanging",
         &config(directory.addr.port(), "{}").replace("\"version\":1,", "\"version\":0,"),
@@ -418,7 +421,7 @@
     old.ends();
     // The disk works again: who is left keeps the list.
     std::fs::remove_file(&pipe).unwrap();
-    directory.change(line("s-9", node, "", 0, NodeState::Terminating));
+    directory.change(endpoint("s-9", node, "", 0, NodeState::Terminating));
     wait_for(&mut next, "endpoints=1 full=false");
     terminate(&new);
     wait_for(&mut next, "graceful shutdown is complete");
--- a/tests/races/bed.rs
+++ b/tests/races/bed.rs
@@ -79,7 +79,7 @@
 /// A broker with one shard, which all these servers hold, a long dial time-out, an idle time-out of one
 /// second for its connections, and this effect for its classes.
 pub fn serve_shard(servers: &[SocketAddr], discovery: SocketAddr, effect: &str) -> Served {
-    let nodes: Vec<_> = servers.iter().map(|a| (*a, Wire::Http)).collect();
+    let nodes: Vec<_> = servers.iter().map(|a| (*a, WireProtocol::Http)).collect();
     let config = platform_config(&nodes, 100, Some(discovery))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":2,"slices":1,"span":2"#)
         .replace(
@@ -87,7 +87,7 @@
             r#""try_limit":3,"dial_timeout_ns":15000000000,"conn_idle_ns":1000000000,"#,
         )
         .replace(r#""effect":"safe""#, effect);
-    serve_told(&config, Script::default())
+    serve_told(&config, NodeScript::default())
 }
 
 /// Sends a query for the shard without reading its answer.
@@ -129,7 +129,7 @@
 }
 
 pub fn idle_discovery() -> SocketAddr {
-    discovery(r#"{"version":8,"full":false,"servers":[]}"#.into())
+    static_discovery(r#"{"version":8,"full":false,"servers":[]}"#.into())
 }
 
 /// Discovery that sends the lines that the test passes to the sender, and empty lines in between.
@@ -156,12 +156,12 @@
 
 /// A broker with two shards, each held by one of these servers, with few buffers and a long dial time-out.
 pub fn serve_two_shards(servers: &[SocketAddr; 2], cancel: bool) -> Served {
-    let nodes: Vec<_> = servers.iter().map(|a| (*a, Wire::Http)).collect();
+    let nodes: Vec<_> = servers.iter().map(|a| (*a, WireProtocol::Http)).collect();
     let config = platform_config(&nodes, 1000, Some(idle_discovery()))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":2,"slices":2,"span":1"#)
         .replace(r#""sockets":96"#, r#""sockets":512,"memory_mb":16"#)
         .replace(r#""cancel":true"#, &format!(r#""cancel":{cancel},"dial_timeout_ns":15000000000"#));
-    serve_told(&config, Script::default())
+    serve_told(&config, NodeScript::default())
 }
 
 /// A client sends a query, runs `before_disconnect`, and disconnects while its call waits for a dial. Only
--- a/tests/races/dials.rs
+++ b/tests/races/dials.rs
@@ -35,14 +35,14 @@
     let (first, second) = (TcpListener::bind("127.0.0.1:0").unwrap(), BlockedListener::new());
     let (discovery, sender) = scripted_discovery();
     let keyed = r#""effect":"keyed","group":"all","window_ns":2000000000"#;
-    let nodes = [(first.local_addr().unwrap(), Wire::Http)];
+    let nodes = [(first.local_addr().unwrap(), WireProtocol::Http)];
     let config = platform_config(&nodes, 100, Some(discovery))
         .replace(
             r#""try_limit":3,"#,
             r#""try_limit":3,"dial_timeout_ns":15000000000,"conn_idle_ns":1000000000,"#,
         )
         .replace(r#""effect":"safe""#, keyed);
-    let s = serve_told(&config, Script::default());
+    let s = serve_told(&config, NodeScript::default());
     let mut asked = send(&s, "asked");
     let (mut begun, _) = first.accept().unwrap();
     assert_eq!(frame(&mut begun).unwrap()[0], b'R');
--- a/tests/races/ending.rs
+++ b/tests/races/ending.rs
@@ -19,10 +19,10 @@
 fn serve_with_manual_server() -> (Served, TcpListener) {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = server.local_addr().unwrap();
-    let config = platform_config(&[(addr, Wire::Http)], 100, Some(idle_discovery()))
+    let config = platform_config(&[(addr, WireProtocol::Http)], 100, Some(idle_discovery()))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":1,"slices":1,"span":1"#)
         .replace(r#""goal_time_ns":600000000"#, r#""goal_time_ns":3000000000"#);
-    (serve_told(&config, Script::default()), server)
+    (serve_told(&config, NodeScript::default()), server)
 }
 
 fn accept_connection(server: &TcpListener) -> TcpStream {
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -32,8 +32,9 @@
 /// whether or not a watch is open.
 #[test]
 fn pushed_lists_are_watched_from_the_start_and_after_each_break() {
-    let script = Script::default();
-    let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let script = NodeScript::default();
+    let nodes: Vec<_> =
+        (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (discovery, watches) = manual_discovery();
     let config = platform_config(&nodes, 100, Some(discovery)).replace("on_request", "pushed");
     let s = serve_told(&config, script.clone());
@@ -62,10 +63,10 @@
 
 /// Whether the broker stops sending to node 1, although no other node serves partition 1.
 fn applies_drain(s: &Served) -> bool {
-    s.script.set(&[2], &[1], Act::Fail);
+    s.script.set(&[2], &[1], Behaviour::Fail);
     (0..2000).any(|_| {
-        let before = s.script.came_to(1);
-        s.ask("whole") != Reply::Whole && s.script.came_to(1) == before
+        let before = s.script.parts_received_by(1);
+        s.ask("whole") != Reply::Whole && s.script.parts_received_by(1) == before
     })
 }
 
@@ -73,8 +74,9 @@
 #[test]
 fn indented_list_is_read_in_any_pieces() {
     for cut in [1, 2, 40, 97] {
-        let script = Script::default();
-        let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+        let script = NodeScript::default();
+        let nodes: Vec<_> =
+            (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
         let (discovery, watches) = manual_discovery();
         let s = serve_told(&platform_config(&nodes, 100, Some(discovery)), script);
         let (_, mut watch) = watches.recv_timeout(HANG_TIMEOUT).expect("no watch");
@@ -93,8 +95,9 @@
 /// may end after any byte, also within a number.
 #[test]
 fn list_is_read_byte_by_byte() {
-    let script = Script::default();
-    let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let script = NodeScript::default();
+    let nodes: Vec<_> =
+        (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (discovery, watches) = manual_discovery();
     let s = serve_told(&platform_config(&nodes, 100, Some(discovery)), script);
     let (_, mut watch) = watches.recv_timeout(HANG_TIMEOUT).expect("no watch");
@@ -117,8 +120,9 @@
 /// request the list only once in two minutes.
 #[test]
 fn silent_watch_is_replaced_in_time_whatever_the_poll_interval() {
-    let script = Script::default();
-    let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let script = NodeScript::default();
+    let nodes: Vec<_> =
+        (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (discovery, watches) = manual_discovery();
     let config = platform_config(&nodes, 100, Some(discovery))
         .replace(r#""must_ask_in_ns":10000000000"#, r#""must_ask_in_ns":120000000000"#);
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -8,8 +8,9 @@
 /// they are rejected whatever the load.
 #[test]
 fn query_counts_against_the_quota_of_its_tenant() {
-    let script = Script::default();
-    let nodes: Vec<_> = (0..3).map(|n| (node(Wire::Http, n, script.clone()), Wire::Http)).collect();
+    let script = NodeScript::default();
+    let nodes: Vec<_> =
+        (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let tenants = r#""over_share_worth":-30.0,"tenants":[{"name":"small","quota_per_s":0.000001},{"name":"large","quota_per_s":1000.0}],"tick_ns""#;
     let config = platform_config(&nodes, 100, None).replace(r#""tick_ns""#, tenants);
     let s = serve_told(&config, script);
