--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! A newcomer's first look: stand-in nodes, a broker, one search over each of the catalogue's protocols.
+//! A demonstration: stand-in nodes, a broker, and one search over each of the catalogue's protocols.
 
 use crate::standins::{NodeScript, WireProtocol, node, read_apdu, read_http};
 use pebbleturn::config::OperatorConfig;
@@ -28,7 +28,7 @@
     text
 }
 
-/// Runs it, and prints what a client sees.
+/// Runs the demonstration and prints what a client receives.
 pub fn run() -> Result<(), Box<dyn Error + Send + Sync>> {
     let script = NodeScript::default();
     let wires = [WireProtocol::Sru, WireProtocol::Z3950, WireProtocol::Sru];
--- a/lab/src/directory.rs
+++ b/lab/src/directory.rs
@@ -1,5 +1,5 @@
-//! A stand-in for discovery: a list that tests and measurements change while brokers watch it, and that can be down,
-//! slow, stale or count anew.
+//! A stand-in for discovery: a list that tests and measurements change while brokers watch it. It can be
+//! down, slow or stale, or restart its version numbers.
 
 use crate::standins::{listen, read_http};
 use pebbleturn::membership::NodeState;
@@ -10,19 +10,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How it answers.
+/// How discovery answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// As it should.
+    /// Normally.
     #[default]
     Up,
-    /// Connections are accepted and closed at once; watches that stand end.
+    /// Connections are accepted and closed at once, and open watches end.
     Down,
     /// Every call gets 503.
     Refusing,
-    /// An answer begins only after so many milliseconds.
+    /// A response begins only after this many milliseconds.
     Slow(u64),
-    /// Answers with the first list it ever had, whatever is asked.
+    /// Every call gets the first list, whichever version it names.
     Stale,
 }
 
@@ -31,16 +31,15 @@
     mode: Mode,
     version: u64,
     nodes: BTreeMap<String, Endpoint>,
-    /// Each change with the version that it made.
+    /// Each change with the version that it created.
     changes: Vec<(u64, Endpoint)>,
     first_list: Option<EndpointList>,
     call_times: Vec<Instant>,
 }
 
-/// Discovery, on a port of its own.
+/// Discovery on a free port.
 #[derive(Clone)]
 pub struct Directory {
-    /// Where it is.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -59,7 +58,7 @@
 }
 
 impl Directory {
-    /// Discovery that tells this list, from version 1 on.
+    /// Starts discovery with this list as version 1.
     pub fn start(nodes: Vec<Endpoint>) -> Directory {
         let state = Arc::new(Mutex::new(State::default()));
         let served_state = state.clone();
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! pebbleturn's laboratory: stand-ins for index nodes and discovery on real sockets, a simulated fleet, and the
-//! measurements that are made with them. The broker does not depend on it; its tests do.
+//! pebbleturn's laboratory: stand-ins for index nodes and discovery on real sockets, a simulated fleet, and
+//! the measurements that use them. The broker does not depend on it; its tests do.
 #![forbid(unsafe_code)]
 
 pub mod cluster;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The laboratory as a program.
+//! Command line of the laboratory.
 #![forbid(unsafe_code)]
 
 use clap::{Args, Parser, Subcommand};
@@ -18,22 +18,23 @@
     command: Command,
 }
 
-/// What every measurement is told.
+/// Options of every measurement.
 #[derive(Clone, Copy, Debug, Args)]
 struct CommonArgs {
     /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// JSON lines instead of text.
+    /// Print JSON lines instead of text.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start stand-in nodes and a broker, search once over SRU and once over Z39.50, print both answers and end.
+    /// Start stand-in nodes and a broker, search once over SRU and once over Z39.50, print both answers and
+    /// end.
     Demo,
-    /// Shares of the work against weights, and a set that fails over to its spare and back; in simulated time.
+    /// Compare shares of the work with weights, and fail a set over to its spare and back; in simulated time.
     Routing {
         #[command(flatten)]
         common: CommonArgs,
@@ -41,7 +42,7 @@
         #[arg(long, value_name = "FILE.svg")]
         plot: Option<PathBuf>,
     },
-    /// Troubles of a large fleet: what all brokers do together; in simulated time.
+    /// Simulate faults of a large fleet and the combined reaction of all brokers; in simulated time.
     Fleet {
         #[command(flatten)]
         common: CommonArgs,
@@ -57,11 +58,11 @@
         /// Parts of a query.
         #[arg(long, default_value_t = Fleet::default().parts)]
         parts: u32,
-        /// How long clients ask, seconds.
+        /// How long clients send queries, seconds.
         #[arg(long, default_value_t = 20)]
         seconds: u64,
     },
-    /// Measure operation on processes of the real program: the second address, upgrades, and what they cost.
+    /// Measure operation on processes of the real program: the admin address, upgrades, and their cost.
     Operation {
         /// The program.
         #[arg(long, default_value = "target/release/pebbleturn")]
@@ -73,7 +74,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Many brokers before one slow discovery: how their calls are spread; in simulated time.
+    /// Measure how the calls of many brokers to one slow discovery are spread; in simulated time.
     Herd {
         #[command(flatten)]
         common: CommonArgs,
@@ -84,17 +85,18 @@
         #[arg(long, default_value_t = 60.0)]
         capacity: f64,
     },
-    /// Brokers that know each other: how a word spreads, what it costs, false deaths, catching up; in simulated time.
+    /// Measure a cluster of brokers: spread of a command, its cost, false failure detections, catching up; in
+    /// simulated time.
     Cluster {
         #[command(flatten)]
         common: CommonArgs,
         /// Runs of each measurement.
         #[arg(long, default_value_t = 3)]
         plays: u64,
-        /// Draw how a word spreads over time, and bytes against brokers, into this directory.
+        /// Plot the spread of a command over time, and bytes against brokers, into this directory.
         #[arg(long, value_name = "DIR")]
         plot: Option<PathBuf>,
-        /// Processes of this program instead: what peers cost the service.
+        /// Measure the cost of peers to the service on processes of this program instead.
         #[arg(long, value_name = "PROGRAM")]
         program: Option<PathBuf>,
     },
@@ -123,7 +125,7 @@
         /// Of those, the share that happen together with the brokers' restart.
         #[arg(long, default_value_t = Scenario::default().together)]
         together: f64,
-        /// One short run on real sockets instead: brokers, stand-in nodes and files, for some seconds.
+        /// Run once for a few seconds on real sockets instead, with brokers, stand-in nodes and files.
         #[arg(long)]
         sockets: bool,
     },
--- a/lab/src/operation.rs
+++ b/lab/src/operation.rs
@@ -1,4 +1,5 @@
-//! What operation costs and how fast it answers, on processes of the real program with the stand-ins of the laboratory.
+//! Cost and response times of the admin endpoint and of upgrades, measured on processes of the real program
+//! with the laboratory's stand-ins.
 
 use crate::running::{Load, Process, Site, until};
 use serde::Serialize;
@@ -7,33 +8,31 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Clients that ask without end, at full load.
+/// Clients that send queries in a closed loop at full load.
 const CLIENTS: usize = 24;
-/// Calls for each figure.
+/// Admin requests for each of `Times`.
 const CALLS: usize = 200;
-/// Queries of one round in which processor time is compared, and rounds of each kind.
+/// Queries in one round of the comparison of CPU time, and rounds of each configuration.
 const QUERIES: u64 = 6_000;
 const ROUNDS: usize = 3;
 
-/// Times of calls, ms.
+/// Response times of admin requests, ms.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Times {
-    /// The middle one.
     pub median: f64,
-    /// The longest.
     pub highest: f64,
 }
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// Calls without load, at full load, and beside a thousand callers that say nothing, under that load.
+    /// Admin requests without load, at full load, and at full load beside a thousand idle connections.
     pub idle: Times,
     /// See `idle`.
     pub loaded: Times,
     /// See `idle`.
     pub crowded: Times,
-    /// Upgrades, queries answered whole meanwhile, and queries that ended at the door.
+    /// Upgrades, complete answers meanwhile, and queries whose connection was closed without a response.
     pub upgrades: usize,
     /// See `upgrades`.
     pub served: u64,
@@ -41,8 +40,9 @@
     pub at_the_door: u64,
     /// Queries refused meanwhile.
     pub refused: u64,
-    /// Processor time of a query, us: without a second address, with one, with one whose figures are fetched ten times a
-    /// second, and with a hand-over too. Each the median of its rounds, played in turn.
+    /// CPU time of a query, us: without an admin address, with one, with one whose metrics are fetched ten
+    /// times a second, and with hot restart too. Each is the median of its rounds; the rounds of the
+    /// configurations alternate.
     pub cpu_plain: f64,
     /// See `cpu_plain`.
     pub cpu_address: f64,
@@ -111,7 +111,7 @@
     v[v.len() / 2]
 }
 
-/// Measures all of it, with so many upgrades.
+/// Runs all measurements, with this many upgrades.
 pub fn measure(program: &Path, upgrades: usize) -> Measured {
     let site = Site::new(program);
     let mut process = site.start();
--- a/lab/src/restart.rs
+++ b/lab/src/restart.rs
@@ -1,5 +1,5 @@
-//! All brokers restart while discovery is absent: what service they give at once, by the age of the list that they
-//! have and by how they trust it.
+//! All brokers restart while discovery is unavailable: the service that they give at once, by the age of
+//! their endpoint list and by the trust that they place in it.
 
 use crate::sim::{Listing, Manner, Node, NodeModel, Strain, World, WorldSettings, exponential, uniform};
 use pebbleturn::membership::snapshot::{Snapshot, SnapshotNode};
@@ -17,43 +17,43 @@
 const S: Nanos = 1_000 * MS;
 const HOUR: Nanos = 3600 * S;
 
-/// The ages that are measured.
+/// Measured ages of the list, in seconds, with their names.
 pub const AGES: [(u64, &str); 5] =
     [(1, "1 s"), (60, "1 min"), (600, "10 min"), (3600, "1 h"), (86_400, "1 day")];
 
-/// What the brokers know at their start.
+/// The endpoint list that the brokers start with.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Arm {
     /// No list.
     None,
-    /// The old list, believed as it is.
+    /// The old list, trusted fully.
     Full,
-    /// The old list, weighed by its age.
+    /// The old list, with trust weighed by its age.
     Weighed,
-    /// Of the old list, just what still holds: the most that can be had without news.
+    /// The entries of the old list that are still correct: the upper bound without an update.
     Possible,
-    /// The list as it should be now.
+    /// The list of the present state.
     Right,
 }
 
-/// Every arm, in the order in which they are told.
+/// Every arm, in the order of the output.
 pub const ARMS: [Arm; 5] = [Arm::None, Arm::Full, Arm::Weighed, Arm::Possible, Arm::Right];
 
-/// What was measured for one age and arm.
+/// The measurement for one age and arm.
 #[derive(Clone, Debug, Serialize)]
 pub struct RestartResult {
     /// Age of the list, seconds.
     pub age_s: u64,
-    /// What the brokers knew.
     pub arm: Arm,
-    /// Worth answered in its aim over worth asked in the first 10 s.
+    /// Priority weight of the queries answered within their latency objective in the first 10 s, over that of
+    /// all queries sent.
     pub service: f64,
-    /// 99th percentile of the times of answers, ms.
+    /// 99th percentile of response times, ms.
     pub p99_ms: f64,
-    /// Parts sent to nodes that the broker had learnt to drain.
+    /// Parts sent to nodes that the broker knew to be draining.
     pub late_drain_sends: u64,
-    /// Nodes that fell over while cold.
+    /// Nodes that failed under overload while cold.
     pub cold_falls: u64,
     /// Queries without exactly one final answer in time.
     pub lost: u64,
@@ -74,24 +74,25 @@
     }
 }
 
-/// What the fleet is like and how it changes.
+/// The fleet and how it changes.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Nodes, and brokers.
     pub nodes: u32,
     /// See `nodes`.
     pub brokers: usize,
-    /// Partitions; each lies on four nodes in a row.
+    /// Partitions; each is held by four consecutive nodes.
     pub partitions: u32,
     /// Queries a second, all brokers together.
     pub rate: f64,
     /// Mean time between two changes of a node.
     pub changes_every: Nanos,
-    /// Share of the changes that are restarts in place; of those, the share that come with the brokers' own restart.
+    /// Share of the changes that are restarts in place; of those, the share that happen together with the
+    /// brokers' restart.
     pub restarts: f64,
     /// See `restarts`.
     pub together: f64,
-    /// Worlds that are drawn for each age.
+    /// Random worlds simulated for each age.
     pub worlds: u64,
 }
 
@@ -192,7 +193,7 @@
         let mut drawn =
             DrawnFleet { nodes: HashMap::new(), old: vec![], last_known: vec![], current: vec![] };
         for n in 0..self.nodes {
-            // One node was told to drain as the last news, and has gone since.
+            // The last update before the restart reported one node as draining, and the node has gone since.
             let drains = n == (seed % u64::from(self.nodes)) as u32;
             drawn.old.push(old(n, NodeState::Ready));
             drawn.last_known.push(old(n, if drains { NodeState::Terminating } else { NodeState::Ready }));
@@ -307,7 +308,7 @@
 struct DrawnFleet {
     /// The node behind each address.
     nodes: HashMap<SocketAddr, Node>,
-    /// The list as it was of old, the same with the last news, and as it should be.
+    /// The old list, the old list with the last update, and the list of the present state.
     old: Vec<NodeRecord>,
     last_known: Vec<NodeRecord>,
     current: Vec<NodeRecord>,
--- a/lab/src/running.rs
+++ b/lab/src/running.rs
@@ -1,5 +1,5 @@
-//! Processes of the real program at one address, with their second addresses; clients, discovery and stand-in shard
-//! servers around them. For tests and measurements.
+//! Processes of the real program that share one listening address, each with its own admin address; clients,
+//! discovery and stand-in shard servers for them. For tests and measurements.
 
 use crate::directory::{Directory, endpoint};
 use crate::standins::{NodeScript, WireProtocol, node, read_http};
@@ -29,7 +29,8 @@
     }
 }
 
-/// Three shard servers in three cells, two holders to a shard, discovery, and the address that the platform holds.
+/// Three shard servers in three cells, each shard on two of them, discovery, and the listening socket that
+/// the processes inherit from the platform.
 pub struct Site {
     program: PathBuf,
     pub script: NodeScript,
@@ -39,7 +40,7 @@
     pub tmp: tempfile::TempDir,
 }
 
-/// An address for a process to listen at. Its host is one that nothing dials from, so that no connection takes the port
+/// An address for a process to listen at. No connection is opened from its host, so none takes the port
 /// before the process does.
 fn unused_address() -> SocketAddr {
     static HOSTS: AtomicU8 = AtomicU8::new(1);
@@ -49,7 +50,7 @@
 }
 
 impl Site {
-    /// Around the program at this path.
+    /// Prepares the servers for processes of the program at this path.
     pub fn new(program: impl AsRef<Path>) -> Site {
         let script = NodeScript::default();
         let nodes: Vec<SocketAddr> = (0..3).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
@@ -86,7 +87,8 @@
         path
     }
 
-    /// Starts a process that inherits the door as descriptor 4, and waits until it serves and knows the list.
+    /// Starts a process that inherits the listener as descriptor 4, and waits until it serves and has the
+    /// endpoint list.
     pub fn start(&self) -> Process {
         let process = self.start_without_waiting();
         let start = Instant::now();
@@ -137,7 +139,7 @@
     }
 }
 
-/// A process of the program; it does not outlive its test.
+/// A process of the program; it is killed when this is dropped.
 pub struct Process {
     child: Child,
     pub admin_addr: SocketAddr,
@@ -203,14 +205,14 @@
         serde_json::from_str(line).unwrap()
     }
 
-    /// Processor time that it has used, in the system's ticks.
+    /// CPU time used so far, in clock ticks of the system.
     pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
         fields[11].parse::<u64>().unwrap() + fields[12].parse::<u64>().unwrap()
     }
 
-    /// Descriptors that it holds; 0 once it has ended.
+    /// Open descriptors; 0 once the process has ended.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
@@ -251,7 +253,7 @@
         self.finish_log();
     }
 
-    /// Waits until all that the process wrote before its end is read.
+    /// Waits until the log has been read to its end; the process must have ended.
     fn finish_log(&mut self) {
         if let Some(log_reader) = self.log_reader.take() {
             let _ = log_reader.join();
@@ -322,8 +324,9 @@
     read_http(&mut stream).unwrap().0.starts_with("HTTP/1.1 200")
 }
 
-/// Clients that ask without end, each as the platform's clients do: they use a connection for as long as it stays open,
-/// and ask once more on a new one where a close crossed their request.
+/// Clients that send queries in a closed loop, each as the platform's clients do: a client reuses its
+/// connection for as long as it stays open, and opens a new one if it was closed while a request was on its
+/// way.
 pub struct Load {
     stop: Arc<AtomicBool>,
     complete: Arc<AtomicU64>,
@@ -333,7 +336,7 @@
 }
 
 impl Load {
-    /// So many clients.
+    /// Starts this many clients.
     pub fn start(site: &Site, clients: usize) -> Load {
         let (stop, complete): (Arc<AtomicBool>, Arc<AtomicU64>) = Default::default();
         let (refused, unanswered): (Arc<AtomicU64>, Arc<AtomicU64>) = Default::default();
@@ -361,7 +364,7 @@
         Load { stop, complete, refused, unanswered, threads }
     }
 
-    /// Queries answered whole.
+    /// Complete answers so far.
     pub fn served(&self) -> u64 {
         self.complete.load(Ordering::Relaxed)
     }
@@ -372,7 +375,7 @@
         until("the queries are served", || self.served() >= from + queries);
     }
 
-    /// Queries answered otherwise than whole so far.
+    /// Responses so far that were not a complete answer.
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
     }
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -1,5 +1,5 @@
-//! The restart of all brokers once on real sockets: kept lists on disk, discovery down, stand-in nodes of which one
-//! is gone, one was learnt to drain, and one has just started.
+//! One restart of all brokers on real sockets: stored snapshots on disk, discovery down, and stand-in nodes
+//! of which one is gone, one is known to drain, and one has just started.
 
 use crate::demo::search_over_sru;
 use crate::directory::{Directory, Mode};
@@ -17,7 +17,7 @@
 
 const NODES: usize = 8;
 const BROKERS: usize = 3;
-/// Searches that each broker gets, one after the other.
+/// Searches sent to each broker, one after the other.
 const SEARCHES: usize = 30;
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(1000);
 /// Service time of a part on a warm node and on a cold one.
@@ -79,7 +79,7 @@
     script.restart_cold(cold, &all, PART_TIMES_MS.1, MAX_COLD_PARTS);
     let mut records = Vec::new();
     for n in 0..NODES {
-        // Nobody listens where the one that is gone was.
+        // Nothing listens at the address of the node that is gone.
         let at = if n == gone {
             TcpListener::bind("127.0.0.1:0")?.local_addr()?
         } else {
--- a/lab/src/standins.rs
+++ b/lab/src/standins.rs
@@ -18,7 +18,7 @@
     Z3950,
 }
 
-/// What a node does with a part.
+/// How a node answers a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
     Serve,
@@ -44,7 +44,7 @@
     Duplicate,
 }
 
-/// What each node does with each partition, and how many parts came.
+/// Sets how each node answers each partition, and records the parts that nodes receive.
 #[derive(Clone, Default)]
 pub struct NodeScript(Arc<Mutex<State>>);
 
@@ -142,7 +142,7 @@
     }
 }
 
-/// Accepts on a port of its own; one thread a connection.
+/// Accepts connections on a free port, with one thread for each.
 pub fn listen(serve: impl Fn(TcpStream) -> Option<()> + Send + Sync + 'static) -> SocketAddr {
     listen_at(SocketAddr::from(([127, 0, 0, 1], 0)), serve)
 }
@@ -255,7 +255,7 @@
     }
 }
 
-/// Reads one HTTP message: its first line, and its body if it has a length.
+/// Reads one HTTP message: its head, and its body if it has a length.
 pub fn read_http(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/lab/tests/restart.rs
+++ b/lab/tests/restart.rs
@@ -1,4 +1,4 @@
-//! The measurement of restarts: the same verdict each time, and what it must show.
+//! The measurement of restarts: it is deterministic, and its results have the required properties.
 
 use pebbleturn_lab::plot;
 use pebbleturn_lab::restart::{AGES, ARMS, Arm, RestartResult, Scenario};
@@ -20,7 +20,7 @@
         let [weighed, full, right] =
             [Arm::Weighed, Arm::Full, Arm::Right].map(|a| scenario.measure(age, a, 1));
         assert_eq!((weighed.late_drain_sends, weighed.cold_falls, weighed.lost), (0, 0, 0), "{name}");
-        // Full trust sends to the node that was learnt to drain: the measurement can see it.
+        // Full trust sends to the node that is known to drain, so the measurement detects such sends.
         assert!(full.late_drain_sends > 0, "{name}");
         assert!(
             weighed.service > full.service.max(right.service) - 0.05,
