--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Hundreds of brokers and hundreds of nodes in simulated time: the combined effect of all brokers under
 //! faults that would hardly affect a single one.
 
-use crate::restart::Scene;
+use crate::restart;
 use crate::sim::{
     Counts, Disturbances, EndpointSource, Node, NodeBehavior, NodeModel, World, WorldSettings, uniform,
 };
@@ -160,11 +160,11 @@
     /// The brokers' settings: the users' classes with a quarter of their latency objective and a third of
     /// their deadline.
     pub fn settings(&self) -> Settings {
-        let scene = Scene {
+        let scene = restart::Scenario {
             nodes: self.nodes,
             brokers: self.brokers,
             partitions: 2 * self.nodes,
-            ..Scene::default()
+            ..restart::Scenario::default()
         };
         let mut settings = scene.settings();
         for class in &mut settings.classes {
--- a/lab/src/operation.rs
+++ b/lab/src/operation.rs
@@ -1,4 +1,5 @@
-//! What operation costs and how fast it answers, on processes of the real program with the stand-ins of the laboratory.
+//! Cost and response times of the admin endpoint and of upgrades, measured on processes of the real program
+//! with the laboratory's stand-ins.
 
 use crate::running::{Load, Process, Site, until};
 use serde::Serialize;
@@ -7,33 +8,31 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Clients that ask without end, at full load.
+/// Clients that send queries in a closed loop at full load.
 const CLIENTS: usize = 24;
-/// Calls for each figure.
+/// Admin requests for each of `Times`.
 const CALLS: usize = 200;
-/// Queries of one round in which processor time is compared, and rounds of each kind.
+/// Queries in one round of the comparison of CPU time, and rounds of each configuration.
 const QUERIES: u64 = 6_000;
 const ROUNDS: usize = 3;
 
-/// Times of calls, ms.
+/// Response times of admin requests, ms.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Times {
-    /// The middle one.
     pub median: f64,
-    /// The longest.
     pub highest: f64,
 }
 
 /// What was measured.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measured {
-    /// Calls without load, at full load, and beside a thousand callers that say nothing, under that load.
+    /// Admin requests without load, at full load, and at full load beside a thousand idle connections.
     pub idle: Times,
     /// See `idle`.
     pub loaded: Times,
     /// See `idle`.
     pub crowded: Times,
-    /// Upgrades, queries answered whole meanwhile, and queries that ended at the door.
+    /// Upgrades, complete answers meanwhile, and queries whose connection was closed without a response.
     pub upgrades: usize,
     /// See `upgrades`.
     pub served: u64,
@@ -41,8 +40,9 @@
     pub at_the_door: u64,
     /// Queries refused meanwhile.
     pub refused: u64,
-    /// Processor time of a query, us: without a second address, with one, with one whose figures are fetched ten times a
-    /// second, and with a hand-over too. Each the median of its rounds, played in turn.
+    /// CPU time of a query, us: without an admin address, with one, with one whose metrics are fetched ten
+    /// times a second, and with hot restart too. Each is the median of its rounds; the rounds of the
+    /// configurations alternate.
     pub cpu_plain: f64,
     /// See `cpu_plain`.
     pub cpu_address: f64,
@@ -76,11 +76,11 @@
     }
 }
 
-fn calls(process: &Process) -> Times {
+fn response_times(process: &Process) -> Times {
     let mut times: Vec<f64> = Vec::with_capacity(CALLS);
     for n in 0..CALLS {
         let start = Instant::now();
-        process.says_yes_or_figures(if n % 2 == 0 { "STATUS" } else { "METRICS" });
+        process.expect_success_or_metrics(if n % 2 == 0 { "STATUS" } else { "METRICS" });
         times.push(start.elapsed().as_secs_f64() * 1e3);
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -88,21 +88,21 @@
     Times { median: times[CALLS / 2], highest: times[CALLS - 1] }
 }
 
-/// Processor time of a query at this process, us.
-fn cpu(site: &Site, process: &Process, fetched: bool) -> f64 {
+/// CPU time of a query at this process, us; with or without regular requests for its metrics.
+fn cpu_per_query(site: &Site, process: &Process, fetches_metrics: bool) -> f64 {
     let load = Load::start(site, CLIENTS);
-    load.more(QUERIES / 10);
+    load.wait_for_more(QUERIES / 10);
     let (ticks, from) = (process.cpu_ticks(), load.served());
     until("the round's queries are served", || {
-        if fetched {
-            process.says_yes_or_figures("METRICS");
+        if fetches_metrics {
+            process.expect_success_or_metrics("METRICS");
         }
         std::thread::sleep(Duration::from_millis(100));
         load.served() >= from + QUERIES
     });
     let used = (process.cpu_ticks() - ticks) as f64 * 1e4;
     let per_query = used / (load.served() - from) as f64;
-    load.end();
+    load.stop();
     per_query
 }
 
@@ -111,32 +111,33 @@
     v[v.len() / 2]
 }
 
-/// Measures all of it, with so many upgrades.
+/// Runs all measurements, with this many upgrades.
 pub fn measure(program: &Path, upgrades: usize) -> Measured {
     let site = Site::new(program);
     let mut process = site.start();
-    let idle = calls(&process);
+    let idle = response_times(&process);
     let load = Load::start(&site, CLIENTS);
-    load.more(1000);
-    let loaded = calls(&process);
-    let callers: Vec<TcpStream> = (0..1000).filter_map(|_| TcpStream::connect(process.ops).ok()).collect();
-    let crowded = calls(&process);
+    load.wait_for_more(1000);
+    let loaded = response_times(&process);
+    let callers: Vec<TcpStream> =
+        (0..1000).filter_map(|_| TcpStream::connect(process.admin_addr).ok()).collect();
+    let crowded = response_times(&process);
     drop(callers);
     let (before, refused) = (load.served(), load.refused());
     for _ in 0..upgrades {
         let new = site.start();
-        process.ends();
-        load.more(100);
+        process.wait_for_exit();
+        load.wait_for_more(100);
         process = new;
     }
     let (served, refused) = (load.served() - before, load.refused() - refused);
-    let at_the_door = load.end();
+    let at_the_door = load.stop();
     drop(process);
     let mut cpu_of = [const { Vec::new() }; 4];
     for _ in 0..ROUNDS {
-        for (kind, figures) in cpu_of.iter_mut().enumerate() {
+        for (kind, rounds) in cpu_of.iter_mut().enumerate() {
             let site = Site::new(program);
-            figures.push(cpu(&site, &site.start_with(kind > 0, kind > 2), kind > 1));
+            rounds.push(cpu_per_query(&site, &site.start_with_options(kind > 0, kind > 2), kind > 1));
         }
     }
     let [cpu_plain, cpu_address, cpu_figures, cpu_all] = cpu_of.map(median);
