--- a/lab/src/cluster/links.rs
+++ b/lab/src/cluster/links.rs
@@ -16,12 +16,12 @@
     pub cut: bool,
     /// Shares of datagrams that are lost, come twice, or have a byte changed.
     pub loss: f64,
-    pub doubled: f64,
-    pub garbled: f64,
+    pub duplication: f64,
+    pub corruption: f64,
     /// Longest time on the way, ms, drawn for each datagram: that reorders them. Connections have half of it.
-    pub delay_ms: u64,
+    pub max_delay_ms: u64,
     /// Bytes a second on connections; 0: as many as there are.
-    pub throttle: u64,
+    pub bytes_per_s: u64,
 }
 
 /// One direction of a link.
@@ -48,7 +48,7 @@
 }
 
 /// An address that is free for datagrams and for connections.
-fn both_free() -> (TcpListener, UdpSocket, SocketAddr) {
+fn bind_tcp_and_udp() -> (TcpListener, UdpSocket, SocketAddr) {
     loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = tcp.local_addr().unwrap();
@@ -58,8 +58,8 @@
     }
 }
 
-/// Time between two looks at what was told, and whether the bed is over.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time between two looks at what was told, and whether the bed is stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Links {
     /// Links between all brokers that have these addresses of their own.
@@ -71,7 +71,7 @@
         let pairs =
             (0..real.len()).flat_map(|a| (0..real.len()).map(move |b| (a, b))).filter(|(a, b)| a != b);
         for pair in pairs.clone() {
-            let (tcp, udp, at) = both_free();
+            let (tcp, udp, at) = bind_tcp_and_udp();
             addresses.insert(pair, at);
             sockets.insert(pair, udp);
             listeners.insert(pair, tcp);
@@ -79,14 +79,19 @@
         }
         for (a, b) in pairs {
             // What `a` sends comes in here, and goes out at the address at which `b` finds `a`.
-            let inside = sockets[&(a, b)].try_clone().unwrap();
+            let receiver = sockets[&(a, b)].try_clone().unwrap();
             let out = sockets[&(b, a)].try_clone().unwrap();
-            let (to, direction, over) = (real[b], directions[&(a, b)].clone(), stop.clone());
+            let (to, direction, stop_datagrams) = (real[b], directions[&(a, b)].clone(), stop.clone());
             let rng = Pcg32::new(seed ^ ((a * 64 + b) as u64), 7);
-            std::thread::spawn(move || datagrams(&inside, &out, to, &direction, rng, &over));
-            let (there, back) = (directions[&(a, b)].clone(), directions[&(b, a)].clone());
-            let (listener, to, over) = (listeners.remove(&(a, b)).unwrap(), real[b], stop.clone());
-            std::thread::spawn(move || connections(&listener, to, &there, &back, &over));
+            std::thread::spawn(move || {
+                forward_datagrams(&receiver, &out, to, &direction, rng, &stop_datagrams)
+            });
+            let (forward, backward) = (directions[&(a, b)].clone(), directions[&(b, a)].clone());
+            let (listener, to, stop_connections) =
+                (listeners.remove(&(a, b)).unwrap(), real[b], stop.clone());
+            std::thread::spawn(move || {
+                forward_connections(&listener, to, &forward, &backward, &stop_connections)
+            });
         }
         Links { addresses, directions, sockets, real: real.to_vec(), stop }
     }
@@ -104,21 +109,21 @@
     }
 
     /// Cuts one direction, or mends it.
-    pub fn cut(&self, from: usize, to: usize, cut: bool) {
+    pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         if let Some(d) = self.directions.get(&(from, to)) {
             d.fault.lock().unwrap().cut = cut;
         }
     }
 
     /// All links in this way.
-    pub fn all(&self, fault: Fault) {
+    pub fn set_all(&self, fault: Fault) {
         self.directions.keys().for_each(|(a, b)| self.set(*a, *b, fault));
     }
 
     /// Cuts all that leads from one side to the other; the sides are given by their first members.
     pub fn split(&self, one: &[usize]) {
         for (a, b) in self.directions.keys().filter(|(a, b)| one.contains(a) != one.contains(b)) {
-            self.cut(*a, *b, true);
+            self.set_cut(*a, *b, true);
         }
     }
 
@@ -139,44 +144,44 @@
     }
 }
 
-fn share(rng: &mut Pcg32) -> f64 {
+fn random_fraction(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-fn datagrams(
-    inside: &UdpSocket,
+fn forward_datagrams(
+    receiver: &UdpSocket,
     out: &UdpSocket,
     to: SocketAddr,
     d: &Direction,
     mut rng: Pcg32,
-    over: &AtomicBool,
+    stop: &AtomicBool,
 ) {
-    let _ = inside.set_read_timeout(Some(LOOK));
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
+    let _ = receiver.set_read_timeout(Some(POLL_INTERVAL));
+    let mut delayed: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 2048];
-    while !over.load(Ordering::Relaxed) {
-        if let Ok((n, _)) = inside.recv_from(&mut buffer) {
+    while !stop.load(Ordering::Relaxed) {
+        if let Ok((n, _)) = receiver.recv_from(&mut buffer) {
             // As it is now: a fault may have been set while nothing came.
             let fault = d.fault();
-            let copies = if share(&mut rng) < fault.doubled { 2 } else { 1 };
+            let copies = if random_fraction(&mut rng) < fault.duplication { 2 } else { 1 };
             for _ in 0..copies {
-                if fault.cut || share(&mut rng) < fault.loss {
+                if fault.cut || random_fraction(&mut rng) < fault.loss {
                     continue;
                 }
                 let mut bytes = buffer[..n].to_vec();
-                if share(&mut rng) < fault.garbled {
+                if random_fraction(&mut rng) < fault.corruption {
                     let at = rng.next_u32() as usize % n.max(1);
                     bytes[at] ^= 1 << (rng.next_u32() % 8);
                 }
-                let delay = Duration::from_millis(u64::from(rng.next_u32()) % (fault.delay_ms + 1));
-                waiting.push((Instant::now() + delay, bytes));
+                let delay = Duration::from_millis(u64::from(rng.next_u32()) % (fault.max_delay_ms + 1));
+                delayed.push((Instant::now() + delay, bytes));
             }
         }
         let now = Instant::now();
         let mut i = 0;
-        while i < waiting.len() {
-            if waiting[i].0 <= now {
-                let (_, bytes) = waiting.swap_remove(i);
+        while i < delayed.len() {
+            if delayed[i].0 <= now {
+                let (_, bytes) = delayed.swap_remove(i);
                 d.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
                 let _ = out.send_to(&bytes, to);
             } else {
@@ -186,63 +191,64 @@
     }
 }
 
-fn connections(
+fn forward_connections(
     listener: &TcpListener,
     to: SocketAddr,
-    there: &Direction,
-    back: &Direction,
-    over: &Arc<AtomicBool>,
+    forward: &Direction,
+    backward: &Direction,
+    stop: &Arc<AtomicBool>,
 ) {
     listener.set_nonblocking(true).unwrap();
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let Ok((one, _)) = listener.accept() else {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         };
         let _ = one.set_nonblocking(false);
-        let (there, back, over) = (there.clone(), back.clone(), over.clone());
+        let (forward, backward, stop) = (forward.clone(), backward.clone(), stop.clone());
         std::thread::spawn(move || {
             // Over a cut nothing comes up, and nothing is said.
-            while there.fault().cut || back.fault().cut {
-                if over.load(Ordering::Relaxed) {
+            while forward.fault().cut || backward.fault().cut {
+                if stop.load(Ordering::Relaxed) {
                     return;
                 }
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
             }
             let Ok(other) = TcpStream::connect(to) else { return };
             let pair = (one.try_clone(), other.try_clone());
-            let (Ok(one_in), Ok(other_in)) = pair else { return };
-            let ended = over.clone();
-            let back_too = std::thread::spawn(move || pump(other_in, one, &back, &ended));
-            pump(one_in, other, &there, &over);
-            let _ = back_too.join();
+            let (Ok(incoming_reader), Ok(outgoing_reader)) = pair else { return };
+            let stop_backward = stop.clone();
+            let backward_thread =
+                std::thread::spawn(move || forward_stream(outgoing_reader, one, &backward, &stop_backward));
+            forward_stream(incoming_reader, other, &forward, &stop);
+            let _ = backward_thread.join();
         });
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, d: &Direction, over: &AtomicBool) {
-    let _ = from.set_read_timeout(Some(LOOK));
+fn forward_stream(mut from: TcpStream, mut to: TcpStream, d: &Direction, stop: &AtomicBool) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = vec![0; 16 * 1024];
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let fault = d.fault();
         if fault.cut {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let most = if fault.throttle > 0 {
-            (fault.throttle / 50).clamp(1, buffer.len() as u64) as usize
+        let max_read = if fault.bytes_per_s > 0 {
+            (fault.bytes_per_s / 50).clamp(1, buffer.len() as u64) as usize
         } else {
             buffer.len()
         };
-        match from.read(&mut buffer[..most]) {
+        match from.read(&mut buffer[..max_read]) {
             Ok(0) => break,
             Ok(n) => {
-                std::thread::sleep(Duration::from_millis(fault.delay_ms / 2));
-                if fault.throttle > 0 {
+                std::thread::sleep(Duration::from_millis(fault.max_delay_ms / 2));
+                if fault.bytes_per_s > 0 {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                while d.fault().cut && !over.load(Ordering::Relaxed) {
-                    std::thread::sleep(LOOK);
+                while d.fault().cut && !stop.load(Ordering::Relaxed) {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 d.bytes.fetch_add(n as u64, Ordering::Relaxed);
                 if to.write_all(&buffer[..n]).is_err() {
--- a/lab/src/cluster/logged_commands.rs
+++ b/lab/src/cluster/logged_commands.rs
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(super) struct LoggedCommands {
     /// What was given to a broker, by its stamp.
-    given: BTreeMap<String, String>,
+    issued: BTreeMap<String, String>,
     notified: Vec<Notified>,
 }
 
@@ -41,7 +41,7 @@
     fn add(&mut self, broker: usize, text: &str) {
         assert!(!text.contains("panicked"), "{broker}: {text}");
         if let Some((what, stamp)) = text.strip_prefix("cluster: ").and_then(|t| t.split_once(" here as ")) {
-            let before = self.given.insert(stamp.to_owned(), what.to_owned());
+            let before = self.issued.insert(stamp.to_owned(), what.to_owned());
             assert_eq!(before, None, "{stamp} is used twice");
         } else if text.contains(" is now ") {
             self.notified.push(Notified { broker, text: text.to_owned() });
@@ -51,7 +51,7 @@
     /// Stamps of which a broker was notified and that no broker has logged as given to it.
     pub(super) fn unknown(&self) -> impl Iterator<Item = (usize, &str, &str)> {
         self.notified.iter().flat_map(|n| {
-            let unknown = n.stamps().filter(|stamp| !self.given.contains_key(*stamp));
+            let unknown = n.stamps().filter(|stamp| !self.issued.contains_key(*stamp));
             unknown.map(|stamp| (n.broker, stamp, n.text.as_str()))
         })
     }
--- a/lab/src/cluster/measure.rs
+++ b/lab/src/cluster/measure.rs
@@ -1,6 +1,6 @@
 //! What a cluster costs and how fast it is, in simulated time and on processes of the real program.
 
-use super::bed::{Bed, Clients};
+use super::bed::{Clients, ProcessCluster};
 use super::links::Fault;
 use super::simulation::{LinkConditions, MILLISECOND, SECOND, SimulatedCluster, name};
 use crate::running::until;
@@ -148,7 +148,7 @@
 
 /// Brokers taken for down that ran and could be reached.
 #[derive(Clone, Debug, Serialize)]
-pub struct Deaths {
+pub struct FalsePositives {
     pub brokers: usize,
     pub hours: f64,
     pub loss: f64,
@@ -160,7 +160,7 @@
     pub paused_an_hour: f64,
 }
 
-impl fmt::Display for Deaths {
+impl fmt::Display for FalsePositives {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -171,7 +171,7 @@
 }
 
 /// Plays so many minutes with losses, and with pauses.
-pub fn deaths(brokers: usize, minutes: u64, loss: f64, pause_ms: u64, seed: u64) -> Deaths {
+pub fn false_positives(brokers: usize, minutes: u64, loss: f64, pause_ms: u64, seed: u64) -> FalsePositives {
     let mut cluster = SimulatedCluster::new(brokers, seed);
     cluster.run_for(30 * SECOND);
     cluster.links = LinkConditions { loss, ..LinkConditions::default() };
@@ -186,7 +186,7 @@
     }
     let hours = minutes as f64 / 60.0;
     let (down, wrong) = (cluster.counts.peers_down as f64, cluster.counts.false_positives as f64);
-    Deaths {
+    FalsePositives {
         brokers,
         hours,
         loss,
@@ -289,16 +289,16 @@
 
 fn one_cost(program: &Path, how: &'static str, seconds: u64) -> Cost {
     let alone = how == "without peers";
-    let mut bed = Bed::new(program, if alone { 1 } else { 5 }, 1);
-    (0..bed.len()).for_each(|n| bed.told(n).probe_ms = 1000);
-    (0..bed.len()).for_each(|n| bed.start(n));
+    let mut cluster = ProcessCluster::new(program, if alone { 1 } else { 5 }, 1);
+    (0..cluster.len()).for_each(|n| cluster.settings_mut(n).probe_interval_ms = 1000);
+    (0..cluster.len()).for_each(|n| cluster.start(n));
     if !alone {
-        bed.meet();
+        cluster.wait_until_joined();
     }
-    bed.links.all(Fault::default());
-    let clients = Clients::at(&bed, 0, 4);
-    clients.more(100);
-    let (ticks, served, begun) = (bed.cpu_ticks(0), clients.served(), Instant::now());
+    cluster.links.set_all(Fault::default());
+    let clients = Clients::start(&cluster, 0, 4);
+    clients.wait_for_more(100);
+    let (ticks, served, begun) = (cluster.cpu_ticks(0), clients.served(), Instant::now());
     let sender = Sender {
         cluster_id: codec::cluster_id("bed"),
         name: "b-1".into(),
@@ -317,11 +317,11 @@
     let mut words = 0;
     while begun.elapsed() < Duration::from_secs(seconds) {
         match how {
-            "four peers, one floods" => (0..200).for_each(|_| bed.links.inject(1, 0, &flood)),
+            "four peers, one floods" => (0..200).for_each(|_| cluster.links.inject(1, 0, &flood)),
             "four peers, words without end" => {
                 for n in 0..10 {
-                    bed.call(1 + n % 4, &format!("SUSPEND n-{} by=x{words} why=once more", n % 3));
-                    bed.call(1 + n % 4, &format!("RESTORE n-{}", n % 3));
+                    cluster.call(1 + n % 4, &format!("SUSPEND n-{} by=x{words} why=once more", n % 3));
+                    cluster.call(1 + n % 4, &format!("RESTORE n-{}", n % 3));
                     words += 2;
                 }
             }
@@ -331,12 +331,12 @@
     }
     let queries = clients.served() - served;
     // The system counts in hundredths of a second.
-    let cpu_us = (bed.cpu_ticks(0) - ticks) as f64 * 10_000.0 / queries.max(1) as f64;
-    until("it answers", || bed.call(0, "PEERS").contains("EOT"));
-    let told = bed.json(0, "PEERS");
+    let cpu_us = (cluster.cpu_ticks(0) - ticks) as f64 * 10_000.0 / queries.max(1) as f64;
+    until("it answers", || cluster.call(0, "PEERS").contains("EOT"));
+    let told = cluster.json(0, "PEERS");
     let figure = |name: &str| told[name].as_u64().unwrap_or(0);
     let (longest_turn_us, longest_for_peers_us) = (figure("longest_turn_us"), figure("longest_for_peers_us"));
     // Words without end leave partitions without holders for moments: what is refused then is no fault here.
-    clients.abandon();
+    clients.stop();
     Cost { how, queries, cpu_us, longest_turn_us, longest_for_peers_us }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -224,7 +224,7 @@
         }
     }
     for (brokers, loss, pause_ms) in [(30, 0.05, 0), (30, 0.05, 5_000), (30, 0.0, 20_000), (5, 0.05, 5_000)] {
-        let line = measure::deaths(brokers, 60, loss, pause_ms, seed);
+        let line = measure::false_positives(brokers, 60, loss, pause_ms, seed);
         if json { println!("{}", serde_json::to_string(&line)?) } else { println!("{line}") }
     }
     for facts in [100, 1_000, 10_000] {
--- a/tests/cluster/links.rs
+++ b/tests/cluster/links.rs
@@ -17,7 +17,7 @@
     let mut buffer = [0; 16];
     let mut arrived_before_split = 0;
     for round in 0..100 {
-        links.all(Fault::default());
+        links.set_all(Fault::default());
         ends[0].send_to(b"whole", links.address(0, 1)).unwrap();
         arrived_before_split += usize::from(ends[1].recv_from(&mut buffer).is_ok());
         links.split(&[0]);
--- a/tests/printed_formats/admin_endpoint.rs
+++ b/tests/printed_formats/admin_endpoint.rs
@@ -3,7 +3,7 @@
 use super::PROGRAM;
 use super::fixture;
 use super::placeholder::{Placeholders, hide_numbers};
-use pebbleturn_lab::cluster::bed::{Bed, name};
+use pebbleturn_lab::cluster::bed::{ProcessCluster, name};
 use pebbleturn_lab::running::{Client, HANG, Site, until};
 use pebbleturn_lab::standins::Act;
 use std::io::{Read, Write};
@@ -117,48 +117,48 @@
     fixture::assert_matches("admin_at_work.txt", &hide_numbers(&answers, &["tries"]));
 }
 
-/// A bed of two brokers, with placeholders for the addresses of the first one's peer.
-pub fn cluster_of_two(seed: u64) -> (Bed, Placeholders) {
-    let mut bed = Bed::new(PROGRAM, 2, seed);
-    for broker in 0..bed.len() {
-        bed.told(broker).probe_ms = PROBE_MS;
-        bed.start(broker);
+/// A cluster of two brokers, with placeholders for the addresses of the first one's peer.
+pub fn cluster_of_two(seed: u64) -> (ProcessCluster, Placeholders) {
+    let mut cluster = ProcessCluster::new(PROGRAM, 2, seed);
+    for broker in 0..cluster.len() {
+        cluster.settings_mut(broker).probe_interval_ms = PROBE_MS;
+        cluster.start(broker);
     }
-    bed.meet();
+    cluster.wait_until_joined();
     let mut placeholders = Placeholders::default();
     // A table fills the address up to its column's width.
-    let address = bed.links.address(0, 1).to_string();
+    let address = cluster.links.address(0, 1).to_string();
     placeholders.add(format!("{address:<22}"), &format!("{:<22}", "<address of b-1>"));
     placeholders.add(address, "<address of b-1>");
-    placeholders.add(bed.ops(0), "<called address>");
-    (bed, placeholders)
+    placeholders.add(cluster.admin_address(0), "<called address>");
+    (cluster, placeholders)
 }
 
 /// Waits until the first broker and its peer have the same copy, on disk.
-pub fn wait_for_equal_copies(bed: &Bed) {
+pub fn wait_for_equal_copies(cluster: &ProcessCluster) {
     until("both copies are equal", || {
-        let peers = bed.json(0, "PEERS");
+        let peers = cluster.json(0, "PEERS");
         let peer = &peers["peers"][0];
         let equal = peer["is"] == "up" && peer["same_copy"] == true && peers["standing"] == "caught up";
-        equal && bed.json(0, "STATE")["on_disk"] == true
+        equal && cluster.json(0, "STATE")["on_disk"] == true
     });
 }
 
 #[test]
 fn a_broker_with_a_peer_answers_as_recorded() {
-    let (bed, mut placeholders) = cluster_of_two(21);
+    let (cluster, mut placeholders) = cluster_of_two(21);
     assert_eq!(name(1), "b-1");
     // Before REMOVE: how often a removed peer is not listened to depends on time.
-    wait_for_equal_copies(&bed);
-    let mut answers = exchange(bed.ops(0), b"PEERS");
+    wait_for_equal_copies(&cluster);
+    let mut answers = exchange(cluster.admin_address(0), b"PEERS");
     for line in WORDS_IN_A_CLUSTER {
-        answers += &exchange(bed.ops(0), line.as_bytes());
+        answers += &exchange(cluster.admin_address(0), line.as_bytes());
     }
-    wait_for_equal_copies(&bed);
+    wait_for_equal_copies(&cluster);
     for line in ["STATE", "CONFLICTS", "STATUS", "METRICS"] {
-        answers += &exchange(bed.ops(0), line.as_bytes());
+        answers += &exchange(cluster.admin_address(0), line.as_bytes());
     }
-    placeholders.add_state(&bed.json(0, "STATE"));
+    placeholders.add_state(&cluster.json(0, "STATE"));
     let shown = hide_numbers(&placeholders.apply(&answers), PEER_TIMINGS);
     fixture::assert_matches("admin_with_a_peer.txt", &shown);
 }
--- a/tests/printed_formats/commands.rs
+++ b/tests/printed_formats/commands.rs
@@ -152,8 +152,8 @@
 
 #[test]
 fn commands_on_a_cluster_print_as_recorded() {
-    let (mut bed, mut placeholders) = cluster_of_two(22);
-    let called = bed.ops(0).to_string();
+    let (mut cluster, mut placeholders) = cluster_of_two(22);
+    let called = cluster.admin_address(0).to_string();
     let calls: [&[&str]; 4] = [
         &["suspend", "n-1", "--by", "asha", "--why", "new disk", "--for", "86400"],
         &["pause", "b-1"],
@@ -161,21 +161,21 @@
         &["admit", "b-1", "--by", "asha"],
     ];
     // Before `remove`: how often a removed peer is not listened to depends on time.
-    wait_for_equal_copies(&bed);
+    wait_for_equal_copies(&cluster);
     let mut shown = record(&["operate", &called, "peers"]);
     shown += &record(&["operate", &called, "--json", "peers"]);
     for call in calls {
         shown += &record(&[&["operate", &called, "--json"], call].concat());
     }
-    wait_for_equal_copies(&bed);
+    wait_for_equal_copies(&cluster);
     for call in ["state", "conflicts"] {
         shown += &record(&["operate", &called, call]);
         shown += &record(&["operate", &called, "--json", call]);
     }
-    placeholders.add_state(&bed.json(0, "STATE"));
-    bed.kill(0);
-    bed.kill(1);
-    shown += &record_state_of_disks(&bed.dir(0), &mut placeholders);
+    placeholders.add_state(&cluster.json(0, "STATE"));
+    cluster.kill(0);
+    cluster.kill(1);
+    shown += &record_state_of_disks(&cluster.state_dir(0), &mut placeholders);
     let shown = hide_numbers(&placeholders.apply(&shown), PEER_TIMINGS);
     fixture::assert_matches("cluster.txt", &hide_last_column(&shown, "b-1 ", HEARD_COLUMN));
 }
