--- a/lab/src/cluster/bed.rs
+++ b/lab/src/cluster/bed.rs
@@ -1,5 +1,5 @@
-//! A bed of several processes of the real program that form a cluster: stand-in nodes behind them, links with faults
-//! between them, clients before them, and a judge over all that they wrote and answered.
+//! A cluster of broker processes of the real program: stand-in nodes as their upstreams, links with injected
+//! faults between them, clients, and a check of invariants over their logs and answers.
 
 use super::links::{Fault, Links};
 use super::logged_commands::LoggedCommands;
@@ -17,31 +17,32 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a line that a broker wrote may take until the thread that reads its log has it.
+/// Longest time from a broker writing a log line to the thread that collects its log reading it.
 const LOG_DELAY: Duration = Duration::from_secs(10);
-/// Last lines of a log that are shown of each broker when a test fails.
+/// Log lines shown of each broker when a test fails.
 const MAX_SHOWN_LINES: usize = 40;
 
-/// How a broker of the bed is started.
+/// The configuration of one broker, used at its next start.
 #[derive(Clone, Debug)]
 pub struct BrokerSettings {
-    /// The name in its file.
+    /// Its name in its configuration file.
     pub name: String,
-    /// The peers in its file, by number, with the names that it knows them by.
+    /// The peers that its configuration file lists: their numbers and the names it lists them under.
     pub peers: Vec<(usize, String)>,
-    /// The cluster's name.
+    /// The name of the cluster.
     pub cluster: String,
-    /// The latest version of frames.
+    /// The latest version of frames that it uses.
     pub latest_version: u8,
-    /// Seconds by which its clock is off.
+    /// Offset of its clock, s.
     pub clock_offset_s: i64,
-    /// Seconds for which words that have ended are kept.
+    /// Retention of commands that have ended, s.
     pub retention_s: u64,
-    /// Time between probes.
+    /// Time between probes, ms.
     pub probe_interval_ms: u64,
-    /// A discovery that names the nodes, in place of its file.
+    /// The discovery that lists the nodes. `None`: the configuration file lists them.
     pub discovery: Option<SocketAddr>,
-    /// New processes take over from old ones: at the same door, over this directory of their own.
+    /// Each new process takes over from the one before it: it shares its listening socket, and a hand-over
+    /// directory of this broker.
     pub hot_restart: bool,
 }
 
@@ -51,18 +52,19 @@
     admin_address: SocketAddr,
     client_address: SocketAddr,
     process: Option<Process>,
-    /// The socket that old and new processes share.
+    /// The listening socket that old and new processes share.
     shared_listener: Option<TcpListener>,
-    /// Processes before the present one.
+    /// Processes before the current one that may still run.
     old_processes: Vec<Process>,
-    /// What processes that have ended wrote.
+    /// The log lines of processes that have ended.
     ended_log_lines: Vec<String>,
 }
 
-/// A word that was answered with SUCCESS: the thing, whether it is out, and the broker.
+/// A command that was answered with SUCCESS: the name it applies to, whether it takes that out of use, and
+/// the broker.
 type Acknowledged = (String, bool, usize);
 
-/// The bed.
+/// A cluster of broker processes. Brokers are named by their number, from 0.
 pub struct ProcessCluster {
     program: PathBuf,
     pub script: Script,
@@ -71,12 +73,12 @@
     pub links: Links,
     tmp: tempfile::TempDir,
     addresses: AddressPool,
-    /// In the order in which they were given.
+    /// Acknowledged commands, in this order.
     pub acknowledged: Vec<Acknowledged>,
 }
 
-/// Addresses of this bed's own: on loopback, and nowhere that the system gives out ports by itself, so that no connection
-/// of another test can have taken one of them before its broker does.
+/// Addresses of one cluster: on loopback addresses of its own and outside the range of ephemeral ports, so
+/// that no connection of another test takes one of them before its broker does.
 struct AddressPool {
     ip: [u8; 4],
     next_port: u16,
@@ -95,12 +97,13 @@
     }
 }
 
+/// The name of a broker.
 pub fn name(n: usize) -> String {
     format!("b-{n}")
 }
 
 impl ProcessCluster {
-    /// So many brokers that all list each other; none is started.
+    /// `brokers` brokers that all list each other; none is started.
     pub fn new(program: impl AsRef<Path>, brokers: usize, seed: u64) -> ProcessCluster {
         let script = Script::default();
         let nodes: Vec<SocketAddr> = (0..3).map(|n| node(Wire::Sru, n, script.clone())).collect();
@@ -132,7 +135,7 @@
         ProcessCluster { program, script, nodes, brokers, links, tmp, addresses, acknowledged: Vec::new() }
     }
 
-    /// The same, all started, and all know each other.
+    /// Like [`ProcessCluster::new`], with all brokers started and joined.
     pub fn started(program: impl AsRef<Path>, brokers: usize, seed: u64) -> ProcessCluster {
         let mut cluster = ProcessCluster::new(program, brokers, seed);
         (0..brokers).for_each(|n| cluster.start(n));
@@ -148,16 +151,17 @@
         self.brokers.is_empty()
     }
 
-    /// For its next start.
+    /// The configuration for the next start of a broker.
     pub fn settings_mut(&mut self, n: usize) -> &mut BrokerSettings {
         &mut self.brokers[n].settings
     }
 
-    /// The directory in which it keeps the cluster's facts.
+    /// The directory in which a broker stores the facts of the cluster.
     pub fn state_dir(&self, n: usize) -> PathBuf {
         self.tmp.path().join(format!("keep-{n}"))
     }
 
+    /// Writes the configuration file of a broker.
     fn write_config(&self, n: usize) -> PathBuf {
         let b = &self.brokers[n];
         let settings = &b.settings;
@@ -200,7 +204,7 @@
         path
     }
 
-    /// Starts a broker, and waits until it answers calls.
+    /// Starts a broker, and waits until its admin endpoint answers.
     pub fn start(&mut self, n: usize) {
         let mut command = Command::new("sh");
         if self.brokers[n].settings.hot_restart {
@@ -226,13 +230,13 @@
         ]);
         command.args(["serve", "catalogue"]).arg(self.write_config(n));
         let process = Process::spawn(&mut command, self.brokers[n].admin_address);
-        until("it answers calls", || process.call("STATUS").starts_with("SUCCESS"));
+        until("the admin endpoint answers", || process.call("STATUS").starts_with("SUCCESS"));
         if let Some(old) = self.brokers[n].process.replace(process) {
             self.brokers[n].old_processes.push(old);
         }
     }
 
-    /// Waits until the processes before the present one have ended by themselves.
+    /// Waits until the processes before the current one have exited by themselves.
     pub fn wait_for_old_processes(&mut self, n: usize) {
         for mut old in std::mem::take(&mut self.brokers[n].old_processes) {
             old.ends();
@@ -240,28 +244,28 @@
         }
     }
 
-    /// Has a broker read its file again, as it is told now.
+    /// Writes the configuration file of a broker and sends it SIGHUP to reload it.
     pub fn reload(&self, n: usize) {
         self.write_config(n);
         self.process(n).signal("-HUP");
     }
 
-    /// Where its clients come.
+    /// The address at which a broker serves clients.
     pub fn client_address(&self, n: usize) -> SocketAddr {
         self.brokers[n].client_address
     }
 
-    /// Its second address.
+    /// The address of its admin endpoint.
     pub fn admin_address(&self, n: usize) -> SocketAddr {
         self.brokers[n].admin_address
     }
 
-    /// Processor time that a broker has used, in the system's ticks.
+    /// Processor time that a broker has used, in clock ticks of the system.
     pub fn cpu_ticks(&self, n: usize) -> u64 {
         self.process(n).cpu_ticks()
     }
 
-    /// Where its peers' words come to it.
+    /// The address at which it listens for its peers.
     pub fn peer_address(&self, n: usize) -> SocketAddr {
         self.brokers[n].peer_address
     }
@@ -272,14 +276,14 @@
     }
 
     fn process(&self, n: usize) -> &Process {
-        self.brokers[n].process.as_ref().expect("it runs")
+        self.brokers[n].process.as_ref().expect("the broker runs")
     }
 
     pub fn is_running(&self, n: usize) -> bool {
         self.brokers[n].process.is_some()
     }
 
-    /// Kills a broker outright.
+    /// Kills a broker with SIGKILL.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut process) = self.brokers[n].process.take() {
             process.kill();
@@ -287,12 +291,12 @@
         }
     }
 
-    /// Stops a broker where it stands, or lets it go on.
+    /// Stops the process of a broker with SIGSTOP, or continues it.
     pub fn set_stopped(&self, n: usize, stopped: bool) {
         self.process(n).signal(if stopped { "-STOP" } else { "-CONT" });
     }
 
-    /// Copies a broker's disk as it is now.
+    /// Copies the files in a broker's state directory.
     pub fn copy_disk(&self, n: usize) -> BTreeMap<String, Vec<u8>> {
         let files: Vec<std::fs::DirEntry> = std::fs::read_dir(self.state_dir(n))
             .map(|d| d.filter_map(Result::ok).collect())
@@ -303,7 +307,7 @@
             .collect()
     }
 
-    /// Sets the disk of a broker that does not run.
+    /// Replaces the files in the state directory of a broker that does not run.
     pub fn set_disk(&self, n: usize, files: &BTreeMap<String, Vec<u8>>) {
         assert!(!self.is_running(n));
         let _ = std::fs::remove_dir_all(self.state_dir(n));
@@ -313,27 +317,29 @@
         }
     }
 
-    // ---- calls ----
+    // ---- requests to the admin endpoint ----
 
-    /// One call.
+    /// Sends one request line, and returns the answer.
     pub fn call(&self, n: usize, line: &str) -> String {
         self.process(n).call(line)
     }
 
-    /// A word by hand; what is answered with SUCCESS counts as promised.
+    /// Sends an operator's command. Returns whether it was answered with SUCCESS; if so, it is added to the
+    /// acknowledged commands.
     pub fn try_command(&mut self, n: usize, line: &str) -> bool {
         let answer = self.call(n, line);
         let accepted = answer.starts_with("SUCCESS");
         if accepted {
-            let mut words = line.split(' ');
-            let (verb, id) = (words.next().unwrap(), words.next().unwrap_or_default().to_owned());
+            let mut tokens = line.split(' ');
+            let (verb, id) = (tokens.next().unwrap(), tokens.next().unwrap_or_default().to_owned());
             let out = matches!(verb, "SUSPEND" | "PAUSE" | "REMOVE");
             self.acknowledged.push((id, out, n));
         }
         accepted
     }
 
-    /// The same, which must be answered with SUCCESS.
+    /// Repeats an operator's command until it is answered with SUCCESS. Panics if the broker stops answering
+    /// first.
     pub fn run_command(&mut self, n: usize, line: &str) {
         let mut accepted = false;
         until(line, || {
@@ -343,30 +349,33 @@
         assert!(accepted, "{line}");
     }
 
+    /// Sends one request line, and returns the answer as JSON.
     pub fn json(&self, n: usize, line: &str) -> Value {
         let answer = self.call(n, line);
         let text = answer.strip_suffix("\nEOT\n").unwrap_or_else(|| panic!("{line}: {answer:?}"));
         serde_json::from_str(text).unwrap()
     }
 
-    /// Servers, pauses and the like that are out by a broker's own word, by what they are called in answers.
+    /// The keys of which a broker's own store has a suspension, pause or removal in force, as its answers
+    /// name them.
     pub fn keys_in_force(&self, n: usize) -> BTreeSet<String> {
         let state = self.json(n, "STATE");
-        let things = state["first"].as_array().cloned().unwrap_or_default();
-        things.iter().filter(|t| t["out"] == true).map(|t| t["of"].as_str().unwrap().to_owned()).collect()
+        let keys = state["first"].as_array().cloned().unwrap_or_default();
+        keys.iter().filter(|k| k["out"] == true).map(|k| k["of"].as_str().unwrap().to_owned()).collect()
     }
 
-    /// How many peers a broker takes for up.
+    /// How many peers a broker considers up.
     pub fn peers_up(&self, n: usize) -> usize {
         let peers = self.json(n, "PEERS");
         peers["peers"].as_array().unwrap().iter().filter(|p| p["is"] == "up").count()
     }
 
+    /// The broker's own sync status, as it reports it.
     pub fn readiness(&self, n: usize) -> String {
         self.json(n, "PEERS")["standing"].as_str().unwrap().to_owned()
     }
 
-    /// How often something was not listened to, for this reason.
+    /// How many messages of peers a broker dropped for reasons that contain this text.
     pub fn dropped(&self, n: usize, reason: &str) -> u64 {
         let peers = self.json(n, "PEERS");
         peers["dropped"]
@@ -382,22 +391,23 @@
         (0..self.len()).filter(|n| self.is_running(*n)).collect()
     }
 
-    /// Waits until all that run have met.
+    /// Waits until all running brokers see each other up and have caught up.
     pub fn wait_until_joined(&self) {
         let all = self.running_brokers();
-        until("all brokers know each other", || {
+        until("all brokers see each other up and have caught up", || {
             all.iter().all(|n| self.peers_up(*n) + 1 >= all.len() && self.readiness(*n) == "caught up")
         });
     }
 
-    /// Waits until all that run have this out, or not.
+    /// Waits until the key is in force, or not, at all running brokers.
     pub fn wait_until_everywhere(&self, key: &str, in_force: bool) {
         until(&format!("{key} in force at all brokers: {in_force}"), || {
             self.running_brokers().iter().all(|n| self.keys_in_force(*n).contains(key) == in_force)
         });
     }
 
-    /// All faults end and all brokers run; waits until all copies are equal.
+    /// Ends all faults, starts the brokers that do not run, and waits until all copies are equal and on disk.
+    /// Returns their digest.
     pub fn heal_and_converge(&mut self) -> Value {
         self.links.set_all(Fault::default());
         for n in 0..self.len() {
@@ -415,12 +425,12 @@
             if all.iter().all(|(d, complete)| *complete && *d == all[0].0) {
                 return all[0].0.clone();
             }
-            assert!(start.elapsed() < HANG, "copies never were equal: {}", self.describe());
+            assert!(start.elapsed() < HANG, "copies did not become equal: {}", self.describe());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The state of each broker and its last lines, for a test that fails.
+    /// The state of each broker and its last log lines, for the message of a failing test.
     fn describe(&self) -> String {
         let state = |n: usize| {
             let lines = self.log_lines(n);
@@ -430,21 +440,22 @@
         (0..self.len()).map(state).collect()
     }
 
-    // ---- the judge ----
+    // ---- invariants ----
 
-    /// All lines that a broker has written.
+    /// All log lines of a broker, including those of its processes that have ended.
     pub fn log_lines(&self, n: usize) -> Vec<String> {
         let mut lines = self.brokers[n].ended_log_lines.clone();
         lines.extend(self.brokers[n].process.iter().flat_map(Process::lines));
         lines
     }
 
+    /// Whether a broker has logged a line that contains this text.
     pub fn has_logged(&self, n: usize, text: &str) -> bool {
         self.log_lines(n).iter().any(|l| l.contains(text))
     }
 
-    /// What the logs say of commands. A log is read by a thread of its own: the line of whoever gave a command may come
-    /// after those of the brokers that were notified of it, and is waited for.
+    /// The commands in the logs. Each log is read by its own thread: the line of the broker that accepted a
+    /// command may be read after those of the brokers that were notified of it, and is waited for.
     fn logged_commands(&self) -> LoggedCommands {
         let start = Instant::now();
         loop {
@@ -456,25 +467,25 @@
         }
     }
 
-    /// Looks over all that was written and answered: to be asked when all copies are equal.
+    /// Checks invariants over the logs and answers of all brokers, once all copies are equal.
     pub fn check_invariants(&self) {
         let logged = self.logged_commands();
-        // No fact is invented.
+        // Every command that a broker was notified of was given to some broker.
         if let Some((n, stamp, text)) = logged.unknown().next() {
-            panic!("{n} was told of {stamp}, which nobody said: {text}");
+            panic!("broker {n} was notified of command {stamp}, which no broker accepted: {text}");
         }
-        // What was acknowledged last, of each thing, at brokers that had heard of what was before, is what stands: a thing
-        // whose last words are all one way stands that way, one with words of both ways may be in conflict.
+        // Something is in force at the end if every acknowledged command on it put it in force. With commands
+        // of both kinds, concurrent ones may be in conflict.
         let out = self.keys_in_force(0);
         for (id, _, _) in &self.acknowledged {
             let values: Vec<bool> =
                 self.acknowledged.iter().filter(|(i, ..)| i == id).map(|(_, o, _)| *o).collect();
             let in_force = out.iter().any(|of| of.ends_with(&format!(" {id}")));
             if values.iter().all(|o| *o) {
-                assert!(in_force, "{id} was taken out, was never put back, and is not out");
+                assert!(in_force, "{id}: all acknowledged commands take it out of use, and it is in use");
             }
         }
-        // Disks and answers say the same.
+        // The facts on disk are those in the answers.
         for n in 0..self.len() {
             let shown = Command::new(&self.program)
                 .args(["state", "show", "--json"])
@@ -482,12 +493,12 @@
                 .output()
                 .unwrap();
             let shown: Value = serde_json::from_slice(&shown.stdout).unwrap_or_default();
-            assert_eq!(shown["digest"], self.json(n, "STATE")["digest"], "the disk of {n}");
+            assert_eq!(shown["digest"], self.json(n, "STATE")["digest"], "digest of the disk of broker {n}");
         }
     }
 }
 
-/// Clients at one broker that ask without end: each query gets one answer, a whole one.
+/// Clients of one broker that send queries in a loop. Each query is expected to get one complete answer.
 pub struct Clients {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
@@ -496,6 +507,7 @@
 }
 
 impl Clients {
+    /// Starts `clients` clients of broker `n`.
     pub fn start(cluster: &ProcessCluster, n: usize, clients: usize) -> Clients {
         let (stop, served, failed): (Arc<AtomicBool>, Arc<AtomicU64>, Arc<AtomicU64>) = Default::default();
         let address = cluster.brokers[n].client_address;
@@ -513,28 +525,28 @@
         Clients { stop, served, failed, threads }
     }
 
-    /// Waits until so many more are served.
+    /// Waits until `queries` more queries are answered completely.
     pub fn wait_for_more(&self, queries: u64) {
         let from = self.served.load(Ordering::Relaxed);
-        until("clients are served", || self.served.load(Ordering::Relaxed) >= from + queries);
+        until("queries are answered", || self.served.load(Ordering::Relaxed) >= from + queries);
     }
 
-    /// Queries answered whole so far.
+    /// Queries answered completely so far.
     pub fn served(&self) -> u64 {
         self.served.load(Ordering::Relaxed)
     }
 
-    /// Ends, whatever was answered.
+    /// Stops the clients without checking their answers.
     pub fn stop(self) {
         self.stop.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|t| drop(t.join()));
     }
 
-    /// Ends; none may have got anything but a whole answer.
+    /// Stops the clients. Panics if any query failed. Returns how many were answered completely.
     pub fn stop_and_check(self) -> u64 {
         self.stop.store(true, Ordering::Relaxed);
         self.threads.into_iter().for_each(|t| t.join().unwrap());
-        assert_eq!(self.failed.load(Ordering::Relaxed), 0, "queries without a whole answer");
+        assert_eq!(self.failed.load(Ordering::Relaxed), 0, "queries without a complete answer");
         self.served.load(Ordering::Relaxed)
     }
 }
--- a/lab/src/cluster/links.rs
+++ b/lab/src/cluster/links.rs
@@ -1,4 +1,5 @@
-//! The links between the brokers of a bed: every datagram and every connection passes here, and suffers what it is told.
+//! The links between the brokers of a cluster under test: a proxy that forwards every datagram and
+//! connection, and injects faults.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -9,18 +10,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What one direction of a link does.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes; open connections stay open and silent.
+    /// Nothing is forwarded; open connections stay open and stall.
     pub cut: bool,
-    /// Shares of datagrams that are lost, come twice, or have a byte changed.
+    /// Shares of datagrams that are lost, arrive twice, or have one bit flipped, from 0 to 1.
     pub loss: f64,
     pub duplication: f64,
     pub corruption: f64,
-    /// Longest time on the way, ms, drawn for each datagram: that reorders them. Connections have half of it.
+    /// Longest delay, ms. Each datagram gets a random delay up to it, which reorders them. On connections,
+    /// each read is delayed by half of it.
     pub max_delay_ms: u64,
-    /// Bytes a second on connections; 0: as many as there are.
+    /// Limit on connections, bytes/s. 0: no limit.
     pub bytes_per_s: u64,
 }
 
@@ -37,9 +39,9 @@
     }
 }
 
-/// All links of a bed, by who sends and who receives.
+/// All links of a cluster, by sender and receiver.
 pub struct Links {
-    /// The address at which `from` finds `to`.
+    /// The address at which the sender reaches the receiver.
     addresses: BTreeMap<(usize, usize), SocketAddr>,
     directions: BTreeMap<(usize, usize), Direction>,
     sockets: BTreeMap<(usize, usize), UdpSocket>,
@@ -47,7 +49,7 @@
     stop: Arc<AtomicBool>,
 }
 
-/// An address that is free for datagrams and for connections.
+/// Binds a TCP and a UDP socket to the same free port.
 fn bind_tcp_and_udp() -> (TcpListener, UdpSocket, SocketAddr) {
     loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -58,11 +60,11 @@
     }
 }
 
-/// Time between two looks at what was told, and whether the bed is stop.
+/// How often a forwarding thread checks for changed faults and for the end of the test.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Links {
-    /// Links between all brokers that have these addresses of their own.
+    /// Links between all brokers that listen at these addresses.
     pub fn between(real: &[SocketAddr], seed: u64) -> Links {
         let (mut addresses, mut directions, mut sockets) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -78,7 +80,7 @@
             directions.insert(pair, Direction { fault: Arc::default(), bytes: Arc::default() });
         }
         for (a, b) in pairs {
-            // What `a` sends comes in here, and goes out at the address at which `b` finds `a`.
+            // Datagrams from `a` are received here, and sent on from the address at which `b` reaches `a`.
             let receiver = sockets[&(a, b)].try_clone().unwrap();
             let out = sockets[&(b, a)].try_clone().unwrap();
             let (to, direction, stop_datagrams) = (real[b], directions[&(a, b)].clone(), stop.clone());
@@ -96,43 +98,43 @@
         Links { addresses, directions, sockets, real: real.to_vec(), stop }
     }
 
-    /// Where `from` finds `to`.
+    /// The address at which `from` reaches `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[&(from, to)]
     }
 
-    /// From now on this direction does so.
+    /// Sets the faults of one direction.
     pub fn set(&self, from: usize, to: usize, fault: Fault) {
         if let Some(d) = self.directions.get(&(from, to)) {
             *d.fault.lock().unwrap() = fault;
         }
     }
 
-    /// Cuts one direction, or mends it.
+    /// Cuts or heals one direction.
     pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         if let Some(d) = self.directions.get(&(from, to)) {
             d.fault.lock().unwrap().cut = cut;
         }
     }
 
-    /// All links in this way.
+    /// Sets the faults of all links.
     pub fn set_all(&self, fault: Fault) {
         self.directions.keys().for_each(|(a, b)| self.set(*a, *b, fault));
     }
 
-    /// Cuts all that leads from one side to the other; the sides are given by their first members.
+    /// Cuts all links between the brokers in `one` and the others, in both directions.
     pub fn split(&self, one: &[usize]) {
         for (a, b) in self.directions.keys().filter(|(a, b)| one.contains(a) != one.contains(b)) {
             self.set_cut(*a, *b, true);
         }
     }
 
-    /// A datagram of the test's own, as if `from` had sent it to `to`.
+    /// Sends a datagram to `to` from the address at which `to` reaches `from`.
     pub fn inject(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.sockets[&(to, from)].send_to(bytes, self.real[to]);
     }
 
-    /// Bytes that have passed.
+    /// Bytes forwarded so far.
     pub fn bytes(&self) -> u64 {
         self.directions.values().map(|d| d.bytes.load(Ordering::Relaxed)).sum()
     }
@@ -161,7 +163,7 @@
     let mut buffer = [0; 2048];
     while !stop.load(Ordering::Relaxed) {
         if let Ok((n, _)) = receiver.recv_from(&mut buffer) {
-            // As it is now: a fault may have been set while nothing came.
+            // Read after the datagram arrived: the fault may have changed while the thread waited for it.
             let fault = d.fault();
             let copies = if random_fraction(&mut rng) < fault.duplication { 2 } else { 1 };
             for _ in 0..copies {
@@ -207,7 +209,7 @@
         let _ = one.set_nonblocking(false);
         let (forward, backward, stop) = (forward.clone(), backward.clone(), stop.clone());
         std::thread::spawn(move || {
-            // Over a cut nothing comes up, and nothing is said.
+            // Over a cut link, connections are accepted here and passed on only once it is healed.
             while forward.fault().cut || backward.fault().cut {
                 if stop.load(Ordering::Relaxed) {
                     return;
--- a/lab/src/cluster/measure.rs
+++ b/lab/src/cluster/measure.rs
@@ -1,4 +1,4 @@
-//! What a cluster costs and how fast it is, in simulated time and on processes of the real program.
+//! Measures the cost and speed of a cluster, in simulated time and on processes of the real program.
 
 use super::bed::{Clients, ProcessCluster};
 use super::links::Fault;
@@ -14,28 +14,31 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Sizes of clusters, and shares of datagrams that are lost.
+/// Numbers of brokers that are measured.
 pub const SIZES: [usize; 5] = [3, 10, 30, 100, 300];
+/// Shares of datagrams that are lost, from 0 to 1.
 pub const LOSSES: [f64; 3] = [0.0, 0.05, 0.3];
 
-/// How one word spread.
+/// How one command spread through a cluster.
 #[derive(Clone, Debug, Serialize)]
 pub struct Spread {
     pub brokers: usize,
     pub loss: f64,
-    /// Until half, 99 of 100 and all knew it, ms.
+    /// Time until half of the brokers, 99% of them and all of them knew it, ms.
     pub half_ms: f64,
     pub most_ms: f64,
     pub all_ms: f64,
-    /// Bytes a broker sent for it, beyond what it sends anyway.
+    /// Bytes that a broker sent for it, in the mean, beyond the traffic of an idle cluster.
     pub bytes: f64,
-    /// The same where the first one tells all and says it again until each has answered: in the mean, and by the first one.
+    /// Bytes for comparison, if the first broker sends it to each of the others and repeats it until
+    /// acknowledged: by a broker in the mean, and by the first one.
     pub plain_bytes: f64,
     pub plain_first: f64,
+    /// Time until all know it in that way, ms.
     pub plain_ms: f64,
-    /// Bytes a second that a broker sends when there is no news.
+    /// Bytes a second that a broker of an idle cluster sends.
     pub idle: f64,
-    /// Time and share that knew it.
+    /// Times, ms, with the share of brokers that knew it.
     #[serde(skip)]
     pub course: Vec<(f64, f64)>,
 }
@@ -63,9 +66,12 @@
     }
 }
 
-/// The plain way: the first one sends the fact to each by itself, every half second until that one has answered.
-fn plain(brokers: usize, loss: f64, size: f64, cluster: &mut SimulatedCluster) -> (f64, f64, f64) {
-    const ANSWER: f64 = 60.0;
+/// Direct sending, for comparison: the first broker sends the fact to each of the others every 500 ms until
+/// that one acknowledges it. Returns mean bytes per broker, bytes of the first one, and the time until all
+/// know it, ms.
+fn direct_send(brokers: usize, loss: f64, size: f64, cluster: &mut SimulatedCluster) -> (f64, f64, f64) {
+    /// Size of an acknowledgement, bytes.
+    const ACK_SIZE: f64 = 60.0;
     let (mut first, mut others, mut longest) = (0.0, 0.0, 0.0f64);
     let mut lost = || cluster.random_below(1_000_000) as f64 / 1e6 < loss;
     for _ in 1..brokers {
@@ -79,7 +85,7 @@
                 longest = longest.max(f64::from(round) * 500.0 + 3.0);
                 known = true;
             }
-            others += ANSWER;
+            others += ACK_SIZE;
             if !lost() {
                 break;
             }
@@ -88,14 +94,14 @@
     ((first + others) / brokers as f64, first, longest)
 }
 
-/// A word at one of so many brokers, the mean of `plays`.
+/// Measures how a command at one of `brokers` brokers spreads: the mean of `plays` runs.
 pub fn spread(brokers: usize, loss: f64, plays: u64, seed: u64) -> Spread {
     let (mut sum, mut course) = ([0.0; 8], Vec::new());
     for play in 0..plays {
         let mut cluster = SimulatedCluster::new(brokers, seed + play);
         cluster.run_for(20 * SECOND);
         cluster.links = LinkConditions { loss, ..LinkConditions::default() };
-        // What is still told of the start is over by then.
+        // Long enough for the gossip about the start of the brokers to end.
         cluster.run_for(if brokers > 100 { 160 } else { 40 } * SECOND);
         let before: u64 = cluster.bytes_sent.iter().sum();
         cluster.run_for(20 * SECOND);
@@ -116,8 +122,8 @@
             cluster.run_for(5 * MILLISECOND);
         }
         let extra = (cluster.bytes_sent.iter().sum::<u64>() - sent) as f64 / brokers as f64 - idle * 10.0;
-        // A datagram with this one fact, as long as it is.
-        let (mean, first, longest) = plain(brokers, loss, 190.0, &mut cluster);
+        // 190 bytes: the size of a datagram with this one fact.
+        let (mean, first, longest) = direct_send(brokers, loss, 190.0, &mut cluster);
         let one = [
             half.unwrap_or(f64::NAN),
             most.unwrap_or(f64::NAN),
@@ -146,17 +152,17 @@
     }
 }
 
-/// Brokers taken for down that ran and could be reached.
+/// False positives of failure detection: running and reachable brokers that a peer declared down.
 #[derive(Clone, Debug, Serialize)]
 pub struct FalsePositives {
     pub brokers: usize,
     pub hours: f64,
     pub loss: f64,
-    /// One broker in turn stands still for so long each minute.
+    /// Each minute one broker, in turn, is paused for about this long, ms. 0: no pauses.
     pub pause_ms: u64,
-    /// Verdicts of one broker on another, an hour, whole cluster.
+    /// Per hour, over all pairs of brokers: peers declared down that were running and reachable.
     pub false_an_hour: f64,
-    /// Of brokers that stood still at the time.
+    /// Per hour, over all pairs of brokers: peers declared down while they were paused.
     pub paused_an_hour: f64,
 }
 
@@ -170,7 +176,7 @@
     }
 }
 
-/// Plays so many minutes with losses, and with pauses.
+/// Simulates `minutes` minutes with loss and pauses.
 pub fn false_positives(brokers: usize, minutes: u64, loss: f64, pause_ms: u64, seed: u64) -> FalsePositives {
     let mut cluster = SimulatedCluster::new(brokers, seed);
     cluster.run_for(30 * SECOND);
@@ -178,33 +184,34 @@
     cluster.counts = Default::default();
     for n in 0..minutes {
         if pause_ms > 0 {
-            // Half as long to half as long again: no pause ends with a suspicion by design.
+            // Half to one and a half times as long: pauses do not end in step with the suspicion timeout.
             let time = pause_ms * (500 + cluster.random_below(1000) as u64) / 1000;
             cluster.pause(n as usize % brokers, time * MILLISECOND);
         }
         cluster.run_for(60 * SECOND);
     }
     let hours = minutes as f64 / 60.0;
-    let (down, wrong) = (cluster.counts.peers_down as f64, cluster.counts.false_positives as f64);
+    let (down, false_positives) = (cluster.counts.peers_down as f64, cluster.counts.false_positives as f64);
     FalsePositives {
         brokers,
         hours,
         loss,
         pause_ms,
-        false_an_hour: wrong / hours,
-        paused_an_hour: (down - wrong) / hours,
+        false_an_hour: false_positives / hours,
+        paused_an_hour: (down - false_positives) / hours,
     }
 }
 
-/// How one that lost its disk comes back.
+/// How a broker that lost its disk catches up.
 #[derive(Clone, Debug, Serialize)]
 pub struct CatchUp {
     pub facts: usize,
-    /// Simulated time until its copy is equal, bytes that moved, and the sum of all facts as they are on the wire.
+    /// Simulated time until its copy is equal, ms; bytes sent by all brokers until then; and the encoded size
+    /// of all facts, bytes.
     pub ms: f64,
     pub bytes: u64,
     pub size: usize,
-    /// Time to read it all from disk, and the size there.
+    /// Time to read all facts from disk, ms, and their size there, bytes.
     pub disk_ms: f64,
     pub disk_bytes: u64,
 }
@@ -219,6 +226,7 @@
     }
 }
 
+/// Measures how a broker without a disk catches up with two that have `facts` facts.
 pub fn catch_up(facts: usize, seed: u64) -> CatchUp {
     let mut cluster = SimulatedCluster::empty(3, seed);
     cluster.fill_disk(0, facts);
@@ -232,10 +240,10 @@
     cluster.wait_for(120 * SECOND, SimulatedCluster::stores_are_equal);
     let (ms, bytes) = ((cluster.now - from) as f64 / MILLISECOND as f64, cluster.counts.bytes - sent);
     let mut copy = StateStore::new(Origin(1), StoreLimits::default());
-    let dir = tempfile::tempdir().expect("a directory for a while");
+    let dir = tempfile::tempdir().expect("create a temporary directory");
     let mut log = String::new();
     for n in 0..facts {
-        let said = OperatorCommand {
+        let command = OperatorCommand {
             value: CommandValue::Set,
             author: "staff".into(),
             reason: "filled".into(),
@@ -243,28 +251,28 @@
             issued_at: 1,
             expires_at: None,
         };
-        let _ = copy.record(&FactKey::Server(format!("s-{n:05}")), said);
+        let _ = copy.record(&FactKey::Server(format!("s-{n:05}")), command);
     }
     for (key, entry) in copy.facts() {
         let text = serde_json::json!({ "Fact": (key, entry) }).to_string();
         log += &format!("{:08x} {text}\n", crc32fast::hash(text.as_bytes()));
     }
-    std::fs::write(dir.path().join(journal::LOG), &log).expect("room for it");
-    let begun = Instant::now();
+    std::fs::write(dir.path().join(journal::LOG), &log).expect("write the log");
+    let start = Instant::now();
     let found = journal::read(&Disk, dir.path(), StoreLimits::default());
-    let disk_ms = begun.elapsed().as_secs_f64() * 1e3;
+    let disk_ms = start.elapsed().as_secs_f64() * 1e3;
     assert_eq!(found.facts.len(), facts, "{:?}", found.problems);
     CatchUp { facts, ms, bytes, size: copy.to_bytes().len(), disk_ms, disk_bytes: log.len() as u64 }
 }
 
-/// What peers cost the service.
+/// What peers cost a broker that serves queries.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost {
     pub how: &'static str,
     pub queries: u64,
-    /// Processor time of the broker a query, us.
+    /// Processor time of the broker per query, us.
     pub cpu_us: f64,
-    /// The longest turn of its loop, and the longest time in one turn for peers, us.
+    /// The longest iteration of its event loop, and the longest time spent on peers in one iteration, us.
     pub longest_turn_us: u64,
     pub longest_for_peers_us: u64,
 }
@@ -279,8 +287,9 @@
     }
 }
 
-/// One broker of the real program under the same load: without peers, with four, with four of which one sends all that it
-/// can, and while two thousand words come at once.
+/// Measures one broker of the real program under the same load: without peers, with four, with four of which
+/// one floods it with datagrams, and with four under a continuous stream of commands (up to two thousand a
+/// second).
 pub fn cost(program: &Path, seconds: u64) -> Vec<Cost> {
     ["without peers", "four peers", "four peers, one floods", "four peers, words without end"]
         .map(|how| one_cost(program, how, seconds))
@@ -298,7 +307,7 @@
     cluster.links.set_all(Fault::default());
     let clients = Clients::start(&cluster, 0, 4);
     clients.wait_for_more(100);
-    let (ticks, served, begun) = (cluster.cpu_ticks(0), clients.served(), Instant::now());
+    let (ticks, served, start) = (cluster.cpu_ticks(0), clients.served(), Instant::now());
     let sender = Sender {
         cluster_id: codec::cluster_id("bed"),
         name: "b-1".into(),
@@ -314,15 +323,15 @@
         root: Some(1),
     }
     .encode(2);
-    let mut words = 0;
-    while begun.elapsed() < Duration::from_secs(seconds) {
+    let mut commands = 0;
+    while start.elapsed() < Duration::from_secs(seconds) {
         match how {
             "four peers, one floods" => (0..200).for_each(|_| cluster.links.inject(1, 0, &flood)),
             "four peers, words without end" => {
                 for n in 0..10 {
-                    cluster.call(1 + n % 4, &format!("SUSPEND n-{} by=x{words} why=once more", n % 3));
+                    cluster.call(1 + n % 4, &format!("SUSPEND n-{} by=x{commands} why=once more", n % 3));
                     cluster.call(1 + n % 4, &format!("RESTORE n-{}", n % 3));
-                    words += 2;
+                    commands += 2;
                 }
             }
             _ => {}
@@ -330,13 +339,14 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     let queries = clients.served() - served;
-    // The system counts in hundredths of a second.
+    // One clock tick is 10 ms.
     let cpu_us = (cluster.cpu_ticks(0) - ticks) as f64 * 10_000.0 / queries.max(1) as f64;
-    until("it answers", || cluster.call(0, "PEERS").contains("EOT"));
-    let told = cluster.json(0, "PEERS");
-    let figure = |name: &str| told[name].as_u64().unwrap_or(0);
+    until("the admin endpoint answers", || cluster.call(0, "PEERS").contains("EOT"));
+    let report = cluster.json(0, "PEERS");
+    let figure = |name: &str| report[name].as_u64().unwrap_or(0);
     let (longest_turn_us, longest_for_peers_us) = (figure("longest_turn_us"), figure("longest_for_peers_us"));
-    // Words without end leave partitions without holders for moments: what is refused then is no fault here.
+    // The stream of commands leaves partitions without holders for moments; queries that are refused then are
+    // expected.
     clients.stop();
     Cost { how, queries, cpu_us, longest_turn_us, longest_for_peers_us }
 }
--- a/lab/src/cluster/mod.rs
+++ b/lab/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Clusters of brokers: in simulated time over the same state machines, and as processes of the real program with
-//! faults between them.
+//! Clusters of brokers: in simulated time over the same state machines, and as processes of the real program
+//! with faults on the links between them.
 
 pub mod bed;
 pub mod links;
