--- a/lab/src/cluster/schedule.rs
+++ b/lab/src/cluster/schedule.rs
@@ -50,7 +50,7 @@
     Pause {
         /// The broker.
         at: usize,
-        /// For so long, s.
+        /// The duration, s.
         seconds: usize,
     },
     /// A broker is killed.
@@ -90,12 +90,12 @@
     },
     /// Time passes.
     Wait {
-        /// So long, ms.
+        /// The duration, ms.
         ms: usize,
     },
 }
 
-/// A schedule of so many steps for so many brokers.
+/// Generates a schedule of `steps` faults and commands, each followed by a wait, for `brokers` brokers.
 #[must_use]
 pub fn generate(brokers: usize, steps: usize, seed: u64) -> Vec<Step> {
     let mut rng = Pcg32::new(seed, 0x5c4e);
@@ -175,7 +175,7 @@
     }
 }
 
-/// Takes steps out of a failing schedule for as long as it still fails.
+/// Removes steps from a failing schedule as long as it still fails without them.
 pub fn shrink(steps: &[Step], fails: impl Fn(&[Step]) -> bool) -> Vec<Step> {
     let mut left = steps.to_vec();
     let mut chunk_len = left.len().div_ceil(2).max(1);
--- a/lab/src/cluster/simulation.rs
+++ b/lab/src/cluster/simulation.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// What happens at some time.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 enum Event {
     Wakeup(usize),
@@ -78,13 +78,13 @@
     /// `None` while it does not run.
     member: Option<GossipNode>,
     disk: BTreeMap<FactKey, FactValue>,
-    /// Changes that are on their way to the disk.
+    /// Changes that are being written to disk.
     writing: Vec<Fact>,
     /// Commands that are acknowledged once these changes are on disk.
     unacknowledged: Vec<Dot>,
     /// How far its clock is ahead, ns.
     clock_skew: i64,
-    /// The same from its next start on.
+    /// How far its clock is ahead from its next start on, ns.
     next_clock_skew: i64,
     paused_until: u64,
     next_wakeup: Option<u64>,
@@ -94,18 +94,18 @@
     listed: Vec<usize>,
 }
 
-/// A command that was acknowledged to whoever gave it.
+/// A command that was acknowledged to the operator.
 #[derive(Clone, Debug)]
 pub struct Acknowledged {
-    /// What it is about.
+    /// The key that it applies to.
     pub key: FactKey,
-    /// Its identity.
+    /// The dot that identifies it.
     pub dot: Dot,
     /// What it sets.
     pub value: CommandValue,
     /// Commands that it superseded.
     pub supersedes: Vec<Dot>,
-    /// The disk of a broker was set back, and no other store has the command any more.
+    /// Whether it was lost when a broker's disk was replaced: no store or disk has the command any more.
     pub lost_with_disk: bool,
 }
 
@@ -116,9 +116,9 @@
     pub datagrams: u64,
     /// Bytes that were sent, by datagram and on connections.
     pub bytes: u64,
-    /// Peers that a broker took for down.
+    /// Peers that a broker declared down.
     pub peers_down: u64,
-    /// Of these, peers that ran and could be reached at the time.
+    /// Of these, peers that were running and reachable at the time.
     pub false_positives: u64,
     /// Suspicions that a broker refuted.
     pub refutations: u64,
@@ -177,7 +177,7 @@
 }
 
 impl SimulatedCluster {
-    /// So many brokers, all started.
+    /// `brokers` brokers, all started.
     #[must_use]
     pub fn new(brokers: usize, seed: u64) -> SimulatedCluster {
         let mut cluster = SimulatedCluster::empty(brokers, seed);
@@ -187,7 +187,7 @@
         cluster
     }
 
-    /// So many brokers, none started.
+    /// `brokers` brokers, none started.
     #[must_use]
     pub fn empty(brokers: usize, seed: u64) -> SimulatedCluster {
         let node = |n| Node {
--- a/lab/src/cluster/simulation/events.rs
+++ b/lab/src/cluster/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, and what follows from a call of a broker.
+//! Handles the events of the simulation and the outputs of brokers.
 
 use super::{DISK_WRITE_TIME, Event, MILLISECOND, SimulatedCluster, name};
 use pebbleturn::gossip::{GossipNode, Notification};
@@ -22,7 +22,7 @@
         match event {
             Event::Wakeup(n) => {
                 if self.nodes[n].next_wakeup != Some(self.now) {
-                    // A later call has moved it.
+                    // A call in between has moved the wakeup to a later time.
                     if self.nodes[n].next_wakeup.is_some_and(|w| w > self.now) {
                         return;
                     }
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Carries out what a broker wants after it was called, and schedules its next deadline.
+    /// Carries out a broker's pending outputs after a call, and schedules its next deadline.
     pub(super) fn drain_outputs(&mut self, n: usize) {
         while let Some(output) = self.nodes[n].member.as_mut().and_then(GossipNode::take_output) {
             self.handle_output(n, output);
--- a/lab/src/cluster/simulation/faults.rs
+++ b/lab/src/cluster/simulation/faults.rs
@@ -1,5 +1,4 @@
-//! What operators and faults do to simulated brokers: starts, kills, pauses, disks, clocks, cut links,
-//! commands.
+//! Operations and faults on simulated brokers: starts, kills, pauses, disks, clocks, cut links, commands.
 
 use super::{Acknowledged, Event, MILLISECOND, START_TIME, SimulatedCluster, address, name};
 use pebbleturn::gossip::{GossipNode, GossipSettings, swim};
@@ -31,7 +30,7 @@
             seed,
         };
         let persisted: Vec<Fact> = node.disk.iter().map(|(k, e)| (k.clone(), e.clone())).collect();
-        // As the program does: by its clock, which may have gone back.
+        // Like the program, from its clock, which may have been set back.
         let incarnation = now / MILLISECOND;
         node.member = Some(GossipNode::new(settings, Origin(seed ^ n as u64), &persisted, incarnation, now));
         (node.next_wakeup, node.paused_until) = (None, 0);
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Fills a broker's disk with so many commands, as if they had been recorded there long ago.
+    /// Fills a broker's disk with `facts` commands that were issued when the simulation began.
     pub fn fill_disk(&mut self, n: usize, facts: usize) {
         let mut store = StateStore::new(Origin(0xf111 + n as u64), StoreLimits::default());
         for i in 0..facts {
--- a/lab/src/cluster/simulation/invariants.rs
+++ b/lab/src/cluster/simulation/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold for all simulated brokers, and what is known of each of them.
+//! Invariants over all simulated brokers, and the state of each of them.
 
 use super::{Node, SimulatedCluster};
 use pebbleturn::gossip::swim::PeerStatus;
@@ -21,8 +21,8 @@
         self.nodes.iter().filter_map(|n| n.member.as_ref()).filter(knows).count()
     }
 
-    /// Checks that what holds everywhere follows from what was acknowledged, once all stores are equal. Adds
-    /// to [`SimulatedCluster::violations`].
+    /// Checks that the stores follow from the acknowledged commands, once all stores are equal. Adds to
+    /// [`SimulatedCluster::violations`].
     pub fn check_invariants(&mut self) {
         let Some(store) = self.nodes.iter().find_map(|n| n.member.as_ref()).map(|m| m.store().clone()) else {
             return;
@@ -31,7 +31,7 @@
             if let Some(m) = &n.member
                 && m.store().to_bytes() != store.to_bytes()
             {
-                self.violations.push("copies differ in their bytes".into());
+                self.violations.push("stores of brokers differ in their bytes".into());
             }
         }
         let is_current = |key: &FactKey, dot: Dot| {
@@ -43,7 +43,8 @@
                 .iter()
                 .any(|later| later.supersedes.contains(&command.dot) && !later.lost_with_disk);
             if superseded && is_current(&command.key, command.dot) {
-                self.violations.push(format!("{} of {} came back", command.dot, command.key));
+                self.violations
+                    .push(format!("superseded command {} of {} is in force again", command.dot, command.key));
             }
             let lost = command.value == CommandValue::Set
                 && !superseded
@@ -55,13 +56,13 @@
             });
             if lost && !superseded_unacknowledged {
                 self.violations
-                    .push(format!("{} of {} was acknowledged and is forgotten", command.dot, command.key));
+                    .push(format!("command {} of {} was acknowledged and is lost", command.dot, command.key));
             }
         }
         for (key, register) in store.registers() {
             for (dot, command) in register.commands() {
                 if self.commands_by_dot.get(&dot).is_none_or(|(k, s)| k != key || s != command) {
-                    self.violations.push(format!("{dot} of {key} was never recorded"));
+                    self.violations.push(format!("command {dot} of {key} was never recorded"));
                 }
             }
         }
@@ -90,7 +91,7 @@
         self.nodes.iter().enumerate().map(one).collect::<Vec<_>>().join("\n")
     }
 
-    /// How many peers a broker takes for up.
+    /// How many peers a broker considers up.
     pub fn peers_up(&self, n: usize) -> usize {
         let now = self.local_time(n);
         self.nodes[n]
@@ -104,7 +105,7 @@
         self.nodes[n].member.as_ref().is_some_and(|m| m.sync_status() == SyncStatus::CaughtUp)
     }
 
-    /// What follows from a broker's store for it.
+    /// The state that a broker derives from its store.
     pub fn derived_state(&self, n: usize) -> DerivedState {
         self.nodes[n].member.as_ref().map(|m| m.derived_state().clone()).unwrap_or_default()
     }
--- a/lab/src/cluster/simulation/network.rs
+++ b/lab/src/cluster/simulation/network.rs
@@ -5,9 +5,10 @@
 use rand_pcg::rand_core::Rng;
 use std::collections::VecDeque;
 
-/// Time after which frames behind a cut link are tried again.
+/// Interval at which frames on a cut link are retried, ns.
 const CUT_RETRY_INTERVAL: u64 = 200 * MILLISECOND;
-/// Time until the other end sees that a connection was closed: longer than frames before it are on their way.
+/// Time until the other end sees that a connection was closed, ns. Longer than the frames sent before it
+/// take.
 const CLOSE_DELAY: u64 = 20 * MILLISECOND;
 
 impl SimulatedCluster {
@@ -54,7 +55,8 @@
             self.schedule(self.now + MILLISECOND, Event::Closed { node: n, stream });
             return;
         }
-        // A cut link swallows it: the broker that dials gives up by itself.
+        // Over a cut link or to a paused broker the dial gets no answer, and times out at the broker that
+        // dials.
         if self.is_cut_either_way(n, to) || self.nodes[to].paused_until > self.now {
             return;
         }
