--- a/tests/cluster/processes.rs
+++ b/tests/cluster/processes.rs
@@ -1,4 +1,5 @@
-//! Several processes of the real program, faults on every link between them, and a judge over all that they wrote.
+//! Clusters of processes of the real program with faults on the links between them, and a check of invariants
+//! over their logs and answers.
 
 use pebbleturn::gossip::codec::{self, Datagram, Sender};
 use pebbleturn::gossip::swim::Probe;
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn a_ban_at_one_broker_holds_at_all_and_queries_go_on() {
+fn a_suspension_at_one_broker_applies_at_all_and_queries_continue() {
     let mut cluster = ProcessCluster::started(PROGRAM, 3, 1);
     let clients = Clients::start(&cluster, 2, 2);
     clients.wait_for_more(20);
@@ -33,58 +34,58 @@
     let suspended = |line: &String| {
         line.contains(r#""message":"node is suspended by an operator""#) && line.contains(r#""node":"n-1""#)
     };
-    until("it is taken out at the third", || cluster.log_lines(2).iter().any(suspended));
+    until("the third broker suspends the node", || cluster.log_lines(2).iter().any(suspended));
     let state = cluster.json(2, "STATE");
-    let word = &state["first"][0]["words"][0];
+    let command = &state["first"][0]["words"][0];
     assert_eq!(
-        (word["by"].as_str(), word["why"].as_str(), word["at_broker"].as_str()),
+        (command["by"].as_str(), command["why"].as_str(), command["at_broker"].as_str()),
         (Some("asha"), Some("new disk"), Some("b-0"))
     );
-    // What was out there is over soon; from then on nothing new comes, for as long as the ban holds.
-    until("nothing is out", || cluster.call(2, "OUT n-1") == "SUCCESS 0\n");
+    // Once the parts in flight at the node have ended, no new one reaches it while it is suspended.
+    until("no part is in flight at the node", || cluster.call(2, "OUT n-1") == "SUCCESS 0\n");
     let before = cluster.script.came_to(1);
     clients.wait_for_more(100);
-    assert_eq!(cluster.script.came_to(1), before, "parts came to a node that is out");
+    assert_eq!(cluster.script.came_to(1), before, "parts were sent to a suspended node");
     assert!(cluster.call(1, "SUSPEND nobody").starts_with("FAILURE nobody was never listed"));
     assert!(cluster.call(1, "PAUSE nobody").starts_with("FAILURE nobody is no broker"));
     cluster.run_command(1, "RESTORE n-1");
     cluster.wait_until_everywhere("server n-1", false);
-    until("it is used again", || cluster.script.came_to(1) > before);
+    until("the node is used again", || cluster.script.came_to(1) > before);
     clients.wait_for_more(50);
     clients.stop_and_check();
-    // One broker is paused by a word at another, until it is resumed, over its own restart too.
+    // A PAUSE at one broker pauses another until it is resumed, across a restart of the paused one.
     cluster.run_command(0, "PAUSE b-1 by=asha");
-    until("it is paused", || cluster.call(1, "STATUS") == "SUCCESS paused\n");
-    until("its own disk has it", || cluster.json(1, "STATE")["on_disk"] == true);
+    until("the broker is paused", || cluster.call(1, "STATUS") == "SUCCESS paused\n");
+    until("the command is on its own disk", || cluster.json(1, "STATE")["on_disk"] == true);
     cluster.kill(1);
     cluster.start(1);
     assert_eq!(cluster.call(1, "STATUS"), "SUCCESS paused\n");
     cluster.run_command(2, "RESUME b-1");
-    until("it serves", || cluster.call(1, "STATUS") == "SUCCESS serving\n");
+    until("the broker serves", || cluster.call(1, "STATUS") == "SUCCESS serving\n");
     converge_and_check(&mut cluster);
 }
 
 #[test]
-fn words_on_both_sides_of_a_cut_end_as_a_conflict_that_the_next_word_settles() {
+fn commands_on_both_sides_of_a_cut_conflict_until_the_next_command_resolves_it() {
     let mut cluster = ProcessCluster::started(PROGRAM, 5, 2);
     cluster.run_command(0, "SUSPEND n-1");
     cluster.wait_until_everywhere("server n-1", true);
     cluster.links.split(&[4]);
     cluster.run_command(0, "RESTORE n-1 by=asha");
     cluster.run_command(4, "SUSPEND n-1 by=binu");
-    until("the larger side has it back", || (0..4).all(|n| cluster.keys_in_force(n).is_empty()));
-    until("the one cut off finds the others down", || cluster.peers_up(4) == 0);
-    // Cut off from all, it serves as a lone one.
+    until("the larger side has restored the node", || (0..4).all(|n| cluster.keys_in_force(n).is_empty()));
+    until("the isolated broker sees its peers down", || cluster.peers_up(4) == 0);
+    // The isolated broker goes on serving.
     let clients = Clients::start(&cluster, 4, 1);
     clients.wait_for_more(30);
     clients.stop_and_check();
     cluster.heal_and_converge();
     for n in 0..5 {
         let conflicts = cluster.json(n, "CONFLICTS");
-        let words = conflicts["first"][0]["words"].as_array().unwrap();
-        let by: Vec<&str> = words.iter().map(|w| w["by"].as_str().unwrap()).collect();
+        let commands = conflicts["first"][0]["words"].as_array().unwrap();
+        let by: Vec<&str> = commands.iter().map(|c| c["by"].as_str().unwrap()).collect();
         assert!(conflicts["conflicts"] == 1 && by.contains(&"asha") && by.contains(&"binu"), "{conflicts}");
-        assert!(cluster.keys_in_force(n).contains("server n-1"), "the careful side");
+        assert!(cluster.keys_in_force(n).contains("server n-1"), "a conflict is resolved to suspended");
     }
     cluster.run_command(2, "RESTORE n-1");
     cluster.wait_until_everywhere("server n-1", false);
@@ -93,14 +94,16 @@
 }
 
 #[test]
-fn facts_pass_a_cut_of_one_direction_and_a_chain_without_a_majority() {
+fn facts_spread_around_a_one_way_cut_and_along_a_chain_without_a_majority() {
     let mut cluster = ProcessCluster::started(PROGRAM, 5, 3);
     cluster.links.set_cut(0, 1, true);
     cluster.run_command(0, "SUSPEND n-0");
-    until("by way of the others", || cluster.keys_in_force(1).contains("server n-0"));
+    until("the command arrives by way of the other brokers", || {
+        cluster.keys_in_force(1).contains("server n-0")
+    });
     cluster.run_command(1, "RESTORE n-0");
     cluster.wait_until_everywhere("server n-0", false);
-    // Now at no time are more than two of five connected.
+    // From here on at most two of the five brokers are connected at a time.
     let set_all_cut =
         |cluster: &ProcessCluster, cut| cluster.links.set_all(Fault { cut, ..Fault::default() });
     set_all_cut(&cluster, true);
@@ -108,15 +111,17 @@
     for (a, b) in [(0, 1), (1, 2), (2, 3), (3, 4)] {
         cluster.links.set_cut(a, b, false);
         cluster.links.set_cut(b, a, false);
-        until("the next one in the chain knows", || cluster.keys_in_force(b).contains("server n-2"));
+        until("the next broker in the chain has the command", || {
+            cluster.keys_in_force(b).contains("server n-2")
+        });
         set_all_cut(&cluster, true);
     }
     converge_and_check(&mut cluster);
 }
 
 #[test]
-fn a_process_stopped_for_twenty_seconds_declares_nobody_dead_and_catches_up() {
-    // Slow enough that a busy machine alone takes nobody for dead.
+fn a_process_stopped_for_twenty_seconds_declares_no_peer_down_and_catches_up() {
+    // A longer probe interval, so that no broker is declared down only because the machine is busy.
     let mut cluster = ProcessCluster::new(PROGRAM, 3, 4);
     (0..3).for_each(|n| cluster.settings_mut(n).probe_interval_ms = 400);
     (0..3).for_each(|n| cluster.start(n));
@@ -125,23 +130,28 @@
     cluster.set_stopped(2, true);
     cluster.run_command(0, "SUSPEND n-1");
     cluster.run_command(0, "SUSPEND n-0 for=1");
-    until("it is found down", || cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1);
-    // The time itself is the fault.
+    until("the stopped broker is declared down", || cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1);
+    // The length of the pause is the fault under test.
     std::thread::sleep(Duration::from_secs(20).saturating_sub(began.elapsed()));
     cluster.set_stopped(2, false);
-    until("it knows what it missed", || cluster.keys_in_force(2).contains("server n-1"));
+    until("the continued broker has the command it missed", || {
+        cluster.keys_in_force(2).contains("server n-1")
+    });
     cluster.wait_until_joined();
     assert!(cluster.has_logged(2, "this process did not run for"));
     for peer in ["b-0", "b-1"] {
-        assert!(!cluster.has_logged(2, &format!("cluster: {peer} is down")), "it took others for dead");
+        assert!(
+            !cluster.has_logged(2, &format!("cluster: {peer} is down")),
+            "the stopped broker declared a peer down"
+        );
     }
-    until("what ended by itself ended here", || !cluster.keys_in_force(2).contains("server n-0"));
+    until("the expired suspension has ended at it too", || !cluster.keys_in_force(2).contains("server n-0"));
     cluster.acknowledged.retain(|(id, ..)| id != "n-0");
     converge_and_check(&mut cluster);
 }
 
 #[test]
-fn all_killed_at_once_one_missing_and_then_back_with_an_older_disk() {
+fn all_brokers_are_killed_at_once_and_one_returns_later_with_an_older_disk() {
     let mut cluster = ProcessCluster::started(PROGRAM, 5, 5);
     cluster.run_command(0, "SUSPEND n-0");
     cluster.run_command(1, "SUSPEND n-1");
@@ -152,7 +162,7 @@
     (0..5).for_each(|n| cluster.kill(n));
     (0..4).for_each(|n| cluster.start(n));
     cluster.wait_until_everywhere("server n-2", true);
-    // What the missing one was promised may be known to it alone; its disk comes back as it was before.
+    // Commands that the missing broker acknowledged may be known to it alone; it restarts with an older disk.
     cluster.set_disk(4, &old);
     cluster.start(4);
     cluster.run_command(4, "SUSPEND n-2");
@@ -160,26 +170,32 @@
     converge_and_check(&mut cluster);
     let out = cluster.keys_in_force(0);
     assert!(out.contains("server n-1") && out.contains("server n-2"), "{out:?}");
-    // Put back at one broker and at no other before it was lost with its disk, or known to others: equal anyway.
+    // The RESTORE was either lost with the disk or had reached other brokers; all copies are equal in both
+    // cases.
     assert!((1..5).all(|n| cluster.keys_in_force(n) == out));
 }
 
 #[test]
-fn a_word_that_ended_stays_ended_for_one_that_was_away_longer_than_words_are_kept() {
+fn an_ended_command_stays_ended_at_a_broker_that_was_down_longer_than_the_retention() {
     let mut cluster = ProcessCluster::new(PROGRAM, 3, 6);
     (0..3).for_each(|n| cluster.settings_mut(n).retention_s = 1);
     (0..3).for_each(|n| cluster.start(n));
     cluster.wait_until_joined();
     cluster.run_command(0, "SUSPEND n-1");
     cluster.wait_until_everywhere("server n-1", true);
-    until("it is on the third's disk", || cluster.json(2, "STATE")["on_disk"] == true);
+    until("the command is on the disk of the third broker", || cluster.json(2, "STATE")["on_disk"] == true);
     cluster.kill(2);
     cluster.run_command(1, "RESTORE n-1");
-    until("the others have forgotten it", || (0..2).all(|n| cluster.json(n, "STATE")["words"] == 0));
+    until("the others have dropped the ended command", || {
+        (0..2).all(|n| cluster.json(n, "STATE")["words"] == 0)
+    });
     cluster.links.set_all(Fault { cut: true, ..Fault::default() });
     cluster.start(2);
-    assert!(cluster.keys_in_force(2).contains("server n-1"), "alone it goes by what it knows");
-    // A word that it alone was given, while it knew nothing newer.
+    assert!(
+        cluster.keys_in_force(2).contains("server n-1"),
+        "without peers it applies the facts on its disk"
+    );
+    // A command given to it alone, before it has learned of the RESTORE.
     cluster.run_command(2, "SUSPEND n-2");
     converge_and_check(&mut cluster);
     for n in 0..3 {
@@ -188,28 +204,32 @@
 }
 
 #[test]
-fn two_names_for_one_broker_and_one_name_for_two_are_told_and_harm_nobody() {
+fn mismatched_and_duplicate_broker_names_are_reported_and_leave_other_brokers_working() {
     let mut cluster = ProcessCluster::new(PROGRAM, 4, 7);
-    // The third calls itself otherwise than the others list it; the fourth has the first one's name.
+    // The third uses another name than its peers list for it; the fourth has the name of the first.
     cluster.settings_mut(2).name = "b-two".into();
     cluster.settings_mut(3).name = "b-0".into();
     cluster.settings_mut(3).peers[0].1 = "b-zero".into();
     (0..4).for_each(|n| cluster.start(n));
-    until("told", || {
+    until("the mismatched name is reported", || {
         cluster.dropped(0, "another name than its address") > 0 && cluster.dropped(1, "another name than") > 0
     });
-    until("told", || cluster.dropped(0, "this broker's own name") > 0);
-    until("the two that are sound meet", || cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1);
+    until("the duplicate name is reported", || cluster.dropped(0, "this broker's own name") > 0);
+    until("the two correctly named brokers see each other up", || {
+        cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1
+    });
     cluster.run_command(0, "SUSPEND n-1");
-    until("they tell each other", || cluster.keys_in_force(1).contains("server n-1"));
+    until("a command spreads from the first to the second", || {
+        cluster.keys_in_force(1).contains("server n-1")
+    });
     cluster.run_command(1, "RESTORE n-1");
-    until("both ways", || cluster.keys_in_force(0).is_empty());
+    until("a command spreads from the second to the first", || cluster.keys_in_force(0).is_empty());
     cluster.run_command(3, "SUSPEND n-2");
     cluster.run_command(2, "SUSPEND n-0");
     assert!(
         cluster.keys_in_force(3).contains("server n-2") && cluster.keys_in_force(2).contains("server n-0")
     );
-    // The names are mended, and all that was said is known to all.
+    // With corrected names, all commands reach all brokers.
     cluster.kill(2);
     cluster.kill(3);
     cluster.settings_mut(2).name = name(2);
@@ -227,17 +247,17 @@
 #[test]
 fn files_that_list_other_peers_and_a_broker_that_joins_during_a_cut() {
     let mut cluster = ProcessCluster::new(PROGRAM, 4, 8);
-    // A chain: nobody lists all.
+    // A chain: no broker lists all others.
     for n in 0..4 {
         cluster.settings_mut(n).peers.retain(|(p, _)| p.abs_diff(n) == 1);
     }
     (0..3).for_each(|n| cluster.start(n));
     cluster.run_command(0, "SUSPEND n-0");
-    until("along the chain", || cluster.keys_in_force(2).contains("server n-0"));
+    until("the command spreads along the chain", || cluster.keys_in_force(2).contains("server n-0"));
     cluster.links.split(&[0, 1]);
     cluster.start(3);
     cluster.run_command(3, "SUSPEND n-1");
-    until("the new one learns on its side", || {
+    until("the joining broker and its side of the cut exchange facts", || {
         cluster.keys_in_force(3).contains("server n-0") && cluster.keys_in_force(2).contains("server n-1")
     });
     cluster.run_command(0, "SUSPEND n-2");
@@ -246,7 +266,7 @@
 }
 
 #[test]
-fn loss_doubling_reordering_and_garbage_change_nothing() {
+fn commands_spread_despite_loss_duplication_reordering_and_corruption() {
     let mut cluster = ProcessCluster::started(PROGRAM, 3, 9);
     cluster.links.set_all(Fault {
         loss: 0.3,
@@ -262,7 +282,9 @@
         cluster.run_command((round + 1) % 3, "RESTORE n-1");
         cluster.wait_until_everywhere("server n-1", false);
     }
-    until("garbage was noticed", || (0..3).any(|n| cluster.dropped(n, "no frame") > 0));
+    until("corrupted datagrams are counted as dropped", || {
+        (0..3).any(|n| cluster.dropped(n, "no frame") > 0)
+    });
     converge_and_check(&mut cluster);
 }
 
@@ -277,7 +299,7 @@
 }
 
 #[test]
-fn a_peer_that_floods_and_one_that_lives_in_the_future_are_bounded() {
+fn floods_from_a_peer_and_times_far_in_the_future_are_contained() {
     let mut cluster = ProcessCluster::started(PROGRAM, 3, 10);
     let clients = Clients::start(&cluster, 0, 2);
     let ahead = FactValue::Latest(ProcessStart { started: u64::MAX / 2, list_version: u64::MAX });
@@ -291,11 +313,11 @@
         }
         .encode(2)
     };
-    // A drain of a server that is to start in three hundred years.
+    // A drain of a server process whose start lies three hundred years ahead.
     cluster.links.inject(1, 0, &frame(vec![(FactKey::Drain("n-0".into()), ahead)]));
-    until("refused", || cluster.dropped(0, "can't be taken in") > 0);
-    // A word from a clock that runs far ahead holds like any other, and the next one ends it.
-    let said = OperatorCommand {
+    until("the fact is rejected", || cluster.dropped(0, "can't be taken in") > 0);
+    // A command with a time far ahead is in force like any other, and the next command supersedes it.
+    let command = OperatorCommand {
         value: CommandValue::Set,
         author: "x".into(),
         reason: String::new(),
@@ -304,14 +326,14 @@
         expires_at: None,
     };
     let mut register = Register::default();
-    register.record(pebbleturn::replication::Dot { origin: Origin(99), sequence: 1 }, said);
+    register.record(pebbleturn::replication::Dot { origin: Origin(99), sequence: 1 }, command);
     let fact = (FactKey::Server("n-1".into()), FactValue::Commands(register));
     cluster.links.inject(1, 0, &frame(vec![fact.clone()]));
     cluster.wait_until_everywhere("server n-1", true);
     cluster.run_command(2, "RESTORE n-1");
     cluster.wait_until_everywhere("server n-1", false);
     cluster.links.inject(1, 0, &frame(vec![fact]));
-    // A flood of sound frames, of another cluster's, and of noise.
+    // A flood of valid frames, of frames of another cluster, and of random bytes.
     let mut rng = Pcg32::new(10, 1);
     for n in 0..3000u32 {
         match n % 3 {
@@ -332,8 +354,8 @@
             }
         }
     }
-    until("bounded", || cluster.dropped(0, "more than may be") > 0);
-    until("of another cluster", || {
+    until("datagrams beyond the rate limit are dropped", || cluster.dropped(0, "more than may be") > 0);
+    until("a frame of another cluster is dropped", || {
         let other = Datagram {
             sender: sender(5, "other"),
             probe: Probe::Gossip,
@@ -371,30 +393,32 @@
 }
 
 #[test]
-fn a_full_disk_promises_nothing_and_a_damaged_one_is_told_and_mended_by_the_others() {
+fn a_full_disk_acknowledges_nothing_and_a_damaged_one_is_reported_and_restored_from_peers() {
     let mut cluster = ProcessCluster::started(PROGRAM, 3, 12);
     cluster.run_command(0, "SUSPEND n-0");
     cluster.wait_until_everywhere("server n-0", true);
-    // The disk is full: what is said holds, and is not promised.
+    // The disk is full: a command is in force, and is not acknowledged.
     cluster.kill(1);
     let log = cluster.state_dir(1).join("cluster.log");
-    let kept = std::fs::read(&log).unwrap();
+    let earlier = std::fs::read(&log).unwrap();
     std::fs::remove_file(&log).unwrap();
     std::os::unix::fs::symlink("/dev/full", &log).unwrap();
     cluster.start(1);
     cluster.wait_until_joined();
     let answer = cluster.call(1, "SUSPEND n-1");
     assert!(answer.starts_with("FAILURE server n-1: it holds here, and is not on disk"), "{answer}");
-    until("the others have it all the same", || cluster.keys_in_force(2).contains("server n-1"));
+    until("the unacknowledged command reaches the others", || {
+        cluster.keys_in_force(2).contains("server n-1")
+    });
     cluster.run_command(0, "RESTORE n-1");
-    // There is room again.
+    // The disk has room again.
     std::fs::remove_file(&log).unwrap();
-    until("kept again", || cluster.has_logged(1, "facts are kept again"));
+    until("facts are written to disk again", || cluster.has_logged(1, "facts are kept again"));
     cluster.run_command(1, "SUSPEND n-2");
-    // Damage in the middle of a log, and a cut at its end.
+    // A flipped bit in the middle of the log, and three bytes missing at its end.
     cluster.kill(1);
     let mut damaged = std::fs::read(&log).unwrap();
-    damaged.splice(0..0, kept);
+    damaged.splice(0..0, earlier);
     let middle = damaged.len() / 2;
     damaged[middle] ^= 1;
     damaged.truncate(damaged.len() - 3);
@@ -403,13 +427,15 @@
     until("the damage is logged", || {
         cluster.has_logged(1, "cluster.log: line") && cluster.has_logged(1, "is damaged")
     });
-    until("the file is set aside", || cluster.state_dir(1).join("cluster.log.damaged").exists());
+    until("the damaged file is kept under another name", || {
+        cluster.state_dir(1).join("cluster.log.damaged").exists()
+    });
     cluster.wait_until_joined();
     converge_and_check(&mut cluster);
     assert!(
         cluster.keys_in_force(1).contains("server n-0") && cluster.keys_in_force(1).contains("server n-2")
     );
-    // No disk at all: it comes back from the others.
+    // With an empty disk, all facts are restored from the peers.
     cluster.kill(1);
     cluster.set_disk(1, &Default::default());
     cluster.start(1);
@@ -421,7 +447,7 @@
 }
 
 #[test]
-fn clocks_that_are_a_day_off_decide_nothing() {
+fn commands_apply_in_order_although_clocks_are_a_day_off() {
     let mut cluster = ProcessCluster::new(PROGRAM, 3, 13);
     cluster.settings_mut(1).clock_offset_s = 86_400;
     cluster.settings_mut(2).clock_offset_s = -86_400;
@@ -431,7 +457,7 @@
     cluster.wait_until_everywhere("server n-1", true);
     cluster.run_command(2, "RESTORE n-1");
     cluster.wait_until_everywhere("server n-1", false);
-    // One restarts a day earlier than it was: its peers take it for what it is.
+    // One restarts with its clock a day earlier; its peers accept it.
     cluster.kill(1);
     cluster.settings_mut(1).clock_offset_s = 0;
     cluster.start(1);
@@ -445,11 +471,15 @@
     cluster.run_command(0, "SUSPEND n-0");
     assert!(cluster.call(2, "REMOVE b-2").starts_with("FAILURE b-2 is this broker"));
     cluster.run_command(0, "REMOVE b-2 by=asha why=machine sold");
-    until("both know", || (0..2).all(|n| cluster.keys_in_force(n).contains("removal of b-2")));
-    until("it is told", || {
+    until("both other brokers have the removal", || {
+        (0..2).all(|n| cluster.keys_in_force(n).contains("removal of b-2"))
+    });
+    until("the removal is reported", || {
         cluster.has_logged(2, "removed by hand") || cluster.dropped(0, "removed from the cluster") > 0
     });
-    until("it is not up for the others", || cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1);
+    until("the removed broker is not up for the others", || {
+        cluster.peers_up(0) == 1 && cluster.peers_up(1) == 1
+    });
     let clients = Clients::start(&cluster, 0, 1);
     clients.wait_for_more(20);
     clients.stop_and_check();
@@ -463,60 +493,62 @@
     converge_and_check(&mut cluster);
 }
 
-/// Two discoveries that do not say the same: what one broker heard makes the others careful, and names them nothing.
+/// Discoveries that differ: a drain that one broker's discovery reports keeps the others from using the node;
+/// nodes that only that discovery lists are not added at the others.
 #[test]
-fn a_drain_heard_by_one_broker_is_kept_by_all_until_their_own_lists_are_as_new() {
+fn a_drain_reported_to_one_broker_applies_at_all_until_their_own_lists_are_as_recent() {
     let mut cluster = ProcessCluster::new(PROGRAM, 3, 15);
     let all: Vec<_> = (0..3).map(|n| (format!("n-{n}"), cluster.nodes()[n], n as u32)).collect();
-    let says = |n: usize, state| line(&all[n].0, all[n].1, "sru", all[n].2, state);
-    let listed = || (0..3).map(|n| says(n, NodeState::Ready)).collect::<Vec<_>>();
+    let endpoint = |n: usize, state| line(&all[n].0, all[n].1, "sru", all[n].2, state);
+    let listed = || (0..3).map(|n| endpoint(n, NodeState::Ready)).collect::<Vec<_>>();
     let directories: Vec<Directory> = (0..3).map(|_| Directory::start(listed())).collect();
-    // The second broker has no discovery: its nodes are those of its file, which it knew before it heard of any peer.
+    // The second broker has no discovery: its nodes are those of its configuration file, known before any
+    // report of a peer.
     for n in [0, 2] {
         cluster.settings_mut(n).discovery = Some(directories[n].addr);
     }
     (0..3).for_each(|n| cluster.start(n));
     cluster.wait_until_joined();
     let clients = Clients::start(&cluster, 2, 2);
-    let by_file = Clients::start(&cluster, 1, 1);
+    let static_clients = Clients::start(&cluster, 1, 1);
     until("all nodes are used", || (0..3).all(|n| cluster.script.came_to(n) > 5));
-    // Only the first broker's discovery knows of the drain, and of a node that the others never heard of.
-    directories[0].change(says(1, NodeState::Terminating));
-    directories[0].change(Endpoint { id: "n-9".into(), ..says(2, NodeState::Ready) });
-    let mut quiet = (cluster.script.came_to(1), 0);
-    until("the others send it nothing more", || {
+    // Only the first broker's discovery reports the drain, and a node that no other list has.
+    directories[0].change(endpoint(1, NodeState::Terminating));
+    directories[0].change(Endpoint { id: "n-9".into(), ..endpoint(2, NodeState::Ready) });
+    let mut unchanged = (cluster.script.came_to(1), 0);
+    until("the others send no more parts to the drained node", || {
         clients.wait_for_more(20);
-        by_file.wait_for_more(20);
-        let came = cluster.script.came_to(1);
-        quiet = if came == quiet.0 { (came, quiet.1 + 1) } else { (came, 0) };
-        quiet.1 == 5
+        static_clients.wait_for_more(20);
+        let received = cluster.script.came_to(1);
+        unchanged = if received == unchanged.0 { (received, unchanged.1 + 1) } else { (received, 0) };
+        unchanged.1 == 5
     });
-    assert_eq!(cluster.json(2, "METRICS")["pool_size"], 3, "no node is named by a peer");
+    assert_eq!(cluster.json(2, "METRICS")["pool_size"], 3, "no node is added by a report of a peer");
     assert!(cluster.call(2, "SUSPEND n-9").starts_with("FAILURE"));
-    // Its own list becomes newer: that says again that the node takes work.
-    directories[2].change(says(0, NodeState::Ready));
-    directories[2].change(says(1, NodeState::Ready));
-    until("it is used again", || cluster.script.came_to(1) > quiet.0);
+    // The third broker's own list becomes more recent, and has the node ready again.
+    directories[2].change(endpoint(0, NodeState::Ready));
+    directories[2].change(endpoint(1, NodeState::Ready));
+    until("the node is used again", || cluster.script.came_to(1) > unchanged.0);
     clients.stop_and_check();
-    // The one without discovery waits for its restart, which the first one hears of.
-    let mut quiet = (cluster.script.came_to(1), 0);
-    until("it still gets nothing by the file", || {
-        by_file.wait_for_more(20);
-        let came = cluster.script.came_to(1);
-        quiet = if came == quiet.0 { (came, quiet.1 + 1) } else { (came, 0) };
-        quiet.1 == 3
+    // The broker without discovery waits for the node's restart, which the first broker's discovery reports.
+    let mut unchanged = (cluster.script.came_to(1), 0);
+    until("the broker without discovery still sends the node no parts", || {
+        static_clients.wait_for_more(20);
+        let received = cluster.script.came_to(1);
+        unchanged = if received == unchanged.0 { (received, unchanged.1 + 1) } else { (received, 0) };
+        unchanged.1 == 3
     });
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    directories[0].change(Endpoint { started_ms: now, ..says(1, NodeState::Ready) });
-    until("it is used again by the file too", || cluster.script.came_to(1) > quiet.0);
-    by_file.stop_and_check();
+    directories[0].change(Endpoint { started_ms: now, ..endpoint(1, NodeState::Ready) });
+    until("the broker without discovery uses the node again", || cluster.script.came_to(1) > unchanged.0);
+    static_clients.stop_and_check();
     converge_and_check(&mut cluster);
 }
 
 #[test]
-fn a_broker_that_moves_is_found_where_the_file_says_once_it_is_read_again() {
+fn a_broker_at_a_new_address_is_found_after_its_peers_reload_their_configuration() {
     let mut cluster = ProcessCluster::new(PROGRAM, 4, 16);
-    // The fourth place is where the third broker will move to.
+    // The third broker will move to the address of the fourth.
     for n in 0..3 {
         cluster.settings_mut(n).peers.retain(|(p, _)| *p != 3);
         cluster.start(n);
@@ -530,25 +562,25 @@
     cluster.settings_mut(3).name = name(2);
     cluster.settings_mut(3).peers.retain(|(p, _)| *p != 2);
     cluster.start(3);
-    until("it is told as what it is", || {
+    until("the first broker reports the unlisted address or sees one peer up", || {
         cluster.dropped(0, "does not name it") > 0 || cluster.peers_up(0) == 1
     });
     for n in 0..2 {
         cluster.settings_mut(n).peers.iter_mut().filter(|(p, _)| *p == 2).for_each(|p| p.0 = 3);
         cluster.reload(n);
     }
-    until("they meet again", || [0, 1, 3].iter().all(|n| cluster.peers_up(*n) == 2));
+    until("all brokers see each other up again", || [0, 1, 3].iter().all(|n| cluster.peers_up(*n) == 2));
     cluster.run_command(3, "RESTORE n-1");
-    until("at all of them", || [0, 1, 3].iter().all(|n| cluster.keys_in_force(*n).is_empty()));
-    // A file that can't be used changes nothing.
+    until("the RESTORE is at all brokers", || [0, 1, 3].iter().all(|n| cluster.keys_in_force(*n).is_empty()));
+    // An invalid configuration file changes nothing.
     cluster.settings_mut(0).latest_version = 9;
     cluster.reload(0);
-    until("told", || cluster.has_logged(0, "the peers stay as they were"));
-    until("it still has its peers", || cluster.peers_up(0) == 2);
+    until("the invalid file is logged", || cluster.has_logged(0, "the peers stay as they were"));
+    until("the broker still has its peers", || cluster.peers_up(0) == 2);
 }
 
 #[test]
-fn a_new_process_takes_the_cluster_s_place_over_from_the_old_one_beside_it() {
+fn a_new_process_takes_over_the_place_in_the_cluster_from_the_old_one() {
     let mut cluster = ProcessCluster::new(PROGRAM, 3, 17);
     cluster.settings_mut(0).hot_restart = true;
     (0..3).for_each(|n| cluster.start(n));
@@ -571,7 +603,7 @@
 }
 
 #[test]
-fn people_see_peers_conflicts_and_disks_in_words() {
+fn operator_commands_print_peers_conflicts_and_disks() {
     let mut cluster = ProcessCluster::started(PROGRAM, 2, 18);
     cluster.run_command(0, "SUSPEND n-1 by=asha why=new disk");
     cluster.wait_until_everywhere("server n-1", true);
@@ -580,7 +612,7 @@
         (out.status.code(), String::from_utf8(out.stdout).unwrap() + &String::from_utf8(out.stderr).unwrap())
     };
     let ops = cluster.admin_address(0).to_string();
-    until("it is told who is up", || {
+    until("peers are listed as up", || {
         let (code, text) = run(&["operate", &ops, "peers"]);
         code == Some(0) && text.contains("b-0 of cluster bed: caught up") && text.contains(" up  ")
     });
@@ -614,7 +646,7 @@
     let mut cluster = ProcessCluster::new(PROGRAM, 2, 19);
     let other = std::net::UdpSocket::bind(cluster.peer_address(0)).unwrap();
     (0..2).for_each(|n| cluster.start(n));
-    until("told", || cluster.has_logged(0, "can't be taken yet"));
+    until("the address conflict is logged", || cluster.has_logged(0, "can't be taken yet"));
     assert_eq!(cluster.readiness(0), "waiting for its address");
     cluster.run_command(0, "SUSPEND n-1");
     let clients = Clients::start(&cluster, 0, 1);
@@ -626,9 +658,9 @@
     converge_and_check(&mut cluster);
 }
 
-/// A schedule drawn from a seed: words, cuts, loss, stops, kills and old disks, while clients ask.
+/// Random schedules of commands, cuts, loss, stopped processes and kills, while clients send queries.
 #[test]
-fn random_schedules_of_faults_end_in_equal_copies_with_every_promise_kept() {
+fn random_fault_schedules_end_in_equal_copies_that_keep_acknowledged_commands() {
     for seed in 0..2 {
         let mut cluster = ProcessCluster::started(PROGRAM, 4, 100 + seed);
         let clients = Clients::start(&cluster, 0, 1);
@@ -638,10 +670,11 @@
         for _ in 0..40 {
             let (a, b) = (pick(4), pick(4));
             match pick(9) {
-                // Words are given to brokers that can answer.
+                // Commands are sent to brokers that can answer.
                 0..=2 if cluster.is_running(a) && stopped != Some(a) => {
                     let line = if pick(2) == 0 { "SUSPEND" } else { "RESTORE" };
-                    // Two holders of a partition are never out at once: clients are to be served.
+                    // Only one node is ever suspended, so that each partition keeps a holder and clients are
+                    // served.
                     cluster.try_command(a, &format!("{line} n-1"));
                 }
                 3 if a != b => cluster.links.set_cut(a, b, true),
