--- a/lab/src/cluster/links.rs
+++ b/lab/src/cluster/links.rs
@@ -1,4 +1,5 @@
-//! The links between the brokers of a bed: every datagram and every connection passes here, and suffers what it is told.
+//! The links between the brokers of a cluster under test: a proxy that forwards every datagram and
+//! connection, and injects faults.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -9,19 +10,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What one direction of a link does.
+/// The faults of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Nothing passes; open connections stay open and silent.
+    /// Nothing is forwarded; open connections stay open and stall.
     pub cut: bool,
-    /// Shares of datagrams that are lost, come twice, or have a byte changed.
+    /// Shares of datagrams that are lost, arrive twice, or have one bit flipped, from 0 to 1.
     pub loss: f64,
-    pub doubled: f64,
-    pub garbled: f64,
-    /// Longest time on the way, ms, drawn for each datagram: that reorders them. Connections have half of it.
-    pub delay_ms: u64,
-    /// Bytes a second on connections; 0: as many as there are.
-    pub throttle: u64,
+    pub duplication: f64,
+    pub corruption: f64,
+    /// Longest delay, ms. Each datagram gets a random delay up to it, which reorders them. On connections,
+    /// each read is delayed by half of it.
+    pub max_delay_ms: u64,
+    /// Limit on connections, bytes/s. 0: no limit.
+    pub bytes_per_s: u64,
 }
 
 /// One direction of a link.
@@ -37,9 +39,9 @@
     }
 }
 
-/// All links of a bed, by who sends and who receives.
+/// All links of a cluster, by sender and receiver.
 pub struct Links {
-    /// The address at which `from` finds `to`.
+    /// The address at which the sender reaches the receiver.
     addresses: BTreeMap<(usize, usize), SocketAddr>,
     directions: BTreeMap<(usize, usize), Direction>,
     sockets: BTreeMap<(usize, usize), UdpSocket>,
@@ -47,8 +49,8 @@
     stop: Arc<AtomicBool>,
 }
 
-/// An address that is free for datagrams and for connections.
-fn both_free() -> (TcpListener, UdpSocket, SocketAddr) {
+/// Binds a TCP and a UDP socket to the same free port.
+fn bind_tcp_and_udp() -> (TcpListener, UdpSocket, SocketAddr) {
     loop {
         let tcp = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = tcp.local_addr().unwrap();
@@ -58,11 +60,11 @@
     }
 }
 
-/// Time between two looks at what was told, and whether the bed is over.
-const LOOK: Duration = Duration::from_millis(5);
+/// How often a forwarding thread checks for changed faults and for the end of the test.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Links {
-    /// Links between all brokers that have these addresses of their own.
+    /// Links between all brokers that listen at these addresses.
     pub fn between(real: &[SocketAddr], seed: u64) -> Links {
         let (mut addresses, mut directions, mut sockets) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -71,63 +73,68 @@
         let pairs =
             (0..real.len()).flat_map(|a| (0..real.len()).map(move |b| (a, b))).filter(|(a, b)| a != b);
         for pair in pairs.clone() {
-            let (tcp, udp, at) = both_free();
+            let (tcp, udp, at) = bind_tcp_and_udp();
             addresses.insert(pair, at);
             sockets.insert(pair, udp);
             listeners.insert(pair, tcp);
             directions.insert(pair, Direction { fault: Arc::default(), bytes: Arc::default() });
         }
         for (a, b) in pairs {
-            // What `a` sends comes in here, and goes out at the address at which `b` finds `a`.
-            let inside = sockets[&(a, b)].try_clone().unwrap();
+            // Datagrams from `a` are received here, and sent on from the address at which `b` reaches `a`.
+            let receiver = sockets[&(a, b)].try_clone().unwrap();
             let out = sockets[&(b, a)].try_clone().unwrap();
-            let (to, direction, over) = (real[b], directions[&(a, b)].clone(), stop.clone());
+            let (to, direction, stop_datagrams) = (real[b], directions[&(a, b)].clone(), stop.clone());
             let rng = Pcg32::new(seed ^ ((a * 64 + b) as u64), 7);
-            std::thread::spawn(move || datagrams(&inside, &out, to, &direction, rng, &over));
-            let (there, back) = (directions[&(a, b)].clone(), directions[&(b, a)].clone());
-            let (listener, to, over) = (listeners.remove(&(a, b)).unwrap(), real[b], stop.clone());
-            std::thread::spawn(move || connections(&listener, to, &there, &back, &over));
+            std::thread::spawn(move || {
+                forward_datagrams(&receiver, &out, to, &direction, rng, &stop_datagrams)
+            });
+            let (forward, backward) = (directions[&(a, b)].clone(), directions[&(b, a)].clone());
+            let (listener, to, stop_connections) =
+                (listeners.remove(&(a, b)).unwrap(), real[b], stop.clone());
+            std::thread::spawn(move || {
+                forward_connections(&listener, to, &forward, &backward, &stop_connections)
+            });
         }
         Links { addresses, directions, sockets, real: real.to_vec(), stop }
     }
 
-    /// Where `from` finds `to`.
+    /// The address at which `from` reaches `to`.
     pub fn address(&self, from: usize, to: usize) -> SocketAddr {
         self.addresses[&(from, to)]
     }
 
-    /// From now on this direction does so.
+    /// Sets the faults of one direction.
     pub fn set(&self, from: usize, to: usize, fault: Fault) {
         if let Some(d) = self.directions.get(&(from, to)) {
             *d.fault.lock().unwrap() = fault;
         }
     }
 
-    /// Cuts one direction, or mends it.
-    pub fn cut(&self, from: usize, to: usize, cut: bool) {
+    /// Cuts or heals one direction.
+    pub fn set_cut(&self, from: usize, to: usize, cut: bool) {
         if let Some(d) = self.directions.get(&(from, to)) {
             d.fault.lock().unwrap().cut = cut;
         }
     }
 
-    /// All links in this way.
-    pub fn all(&self, fault: Fault) {
+    /// Sets the faults of all links.
+    pub fn set_all(&self, fault: Fault) {
         self.directions.keys().for_each(|(a, b)| self.set(*a, *b, fault));
     }
 
-    /// Cuts all that leads from one side to the other; the sides are given by their first members.
+    /// Cuts all links between the brokers in `one` and the others, in both directions.
     pub fn split(&self, one: &[usize]) {
         for (a, b) in self.directions.keys().filter(|(a, b)| one.contains(a) != one.contains(b)) {
-            self.cut(*a, *b, true);
+            self.set_cut(*a, *b, true);
         }
     }
 
-    /// A datagram of the test's own, as if `from` had sent it to `to`.
+    /// Sends a datagram to `to` from the address at which `to` reaches `from`.
     pub fn inject(&self, from: usize, to: usize, bytes: &[u8]) {
         let _ = self.sockets[&(to, from)].send_to(bytes, self.real[to]);
     }
 
-    /// Bytes that have passed.
+    /// Bytes forwarded so far.
     pub fn bytes(&self) -> u64 {
         self.directions.values().map(|d| d.bytes.load(Ordering::Relaxed)).sum()
     }
@@ -139,44 +146,44 @@
     }
 }
 
-fn share(rng: &mut Pcg32) -> f64 {
+fn random_fraction(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / f64::from(u32::MAX)
 }
 
-fn datagrams(
-    inside: &UdpSocket,
+fn forward_datagrams(
+    receiver: &UdpSocket,
     out: &UdpSocket,
     to: SocketAddr,
     d: &Direction,
     mut rng: Pcg32,
-    over: &AtomicBool,
+    stop: &AtomicBool,
 ) {
-    let _ = inside.set_read_timeout(Some(LOOK));
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
+    let _ = receiver.set_read_timeout(Some(POLL_INTERVAL));
+    let mut delayed: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut buffer = [0; 2048];
-    while !over.load(Ordering::Relaxed) {
-        if let Ok((n, _)) = inside.recv_from(&mut buffer) {
-            // As it is now: a fault may have been set while nothing came.
+    while !stop.load(Ordering::Relaxed) {
+        if let Ok((n, _)) = receiver.recv_from(&mut buffer) {
+            // Read after the datagram arrived: the fault may have changed while the thread waited for it.
             let fault = d.fault();
-            let copies = if share(&mut rng) < fault.doubled { 2 } else { 1 };
+            let copies = if random_fraction(&mut rng) < fault.duplication { 2 } else { 1 };
             for _ in 0..copies {
-                if fault.cut || share(&mut rng) < fault.loss {
+                if fault.cut || random_fraction(&mut rng) < fault.loss {
                     continue;
                 }
                 let mut bytes = buffer[..n].to_vec();
-                if share(&mut rng) < fault.garbled {
+                if random_fraction(&mut rng) < fault.corruption {
                     let at = rng.next_u32() as usize % n.max(1);
                     bytes[at] ^= 1 << (rng.next_u32() % 8);
                 }
-                let delay = Duration::from_millis(u64::from(rng.next_u32()) % (fault.delay_ms + 1));
-                waiting.push((Instant::now() + delay, bytes));
+                let delay = Duration::from_millis(u64::from(rng.next_u32()) % (fault.max_delay_ms + 1));
+                delayed.push((Instant::now() + delay, bytes));
             }
         }
         let now = Instant::now();
         let mut i = 0;
-        while i < waiting.len() {
-            if waiting[i].0 <= now {
-                let (_, bytes) = waiting.swap_remove(i);
+        while i < delayed.len() {
+            if delayed[i].0 <= now {
+                let (_, bytes) = delayed.swap_remove(i);
                 d.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
                 let _ = out.send_to(&bytes, to);
             } else {
@@ -186,63 +193,64 @@
     }
 }
 
-fn connections(
+fn forward_connections(
     listener: &TcpListener,
     to: SocketAddr,
-    there: &Direction,
-    back: &Direction,
-    over: &Arc<AtomicBool>,
+    forward: &Direction,
+    backward: &Direction,
+    stop: &Arc<AtomicBool>,
 ) {
     listener.set_nonblocking(true).unwrap();
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let Ok((one, _)) = listener.accept() else {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         };
         let _ = one.set_nonblocking(false);
-        let (there, back, over) = (there.clone(), back.clone(), over.clone());
+        let (forward, backward, stop) = (forward.clone(), backward.clone(), stop.clone());
         std::thread::spawn(move || {
-            // Over a cut nothing comes up, and nothing is said.
-            while there.fault().cut || back.fault().cut {
-                if over.load(Ordering::Relaxed) {
+            // Over a cut link, connections are accepted here and passed on only once it is healed.
+            while forward.fault().cut || backward.fault().cut {
+                if stop.load(Ordering::Relaxed) {
                     return;
                 }
-                std::thread::sleep(LOOK);
+                std::thread::sleep(POLL_INTERVAL);
             }
             let Ok(other) = TcpStream::connect(to) else { return };
             let pair = (one.try_clone(), other.try_clone());
-            let (Ok(one_in), Ok(other_in)) = pair else { return };
-            let ended = over.clone();
-            let back_too = std::thread::spawn(move || pump(other_in, one, &back, &ended));
-            pump(one_in, other, &there, &over);
-            let _ = back_too.join();
+            let (Ok(incoming_reader), Ok(outgoing_reader)) = pair else { return };
+            let stop_backward = stop.clone();
+            let backward_thread =
+                std::thread::spawn(move || forward_stream(outgoing_reader, one, &backward, &stop_backward));
+            forward_stream(incoming_reader, other, &forward, &stop);
+            let _ = backward_thread.join();
         });
     }
 }
 
-fn pump(mut from: TcpStream, mut to: TcpStream, d: &Direction, over: &AtomicBool) {
-    let _ = from.set_read_timeout(Some(LOOK));
+fn forward_stream(mut from: TcpStream, mut to: TcpStream, d: &Direction, stop: &AtomicBool) {
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = vec![0; 16 * 1024];
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         let fault = d.fault();
         if fault.cut {
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
             continue;
         }
-        let most = if fault.throttle > 0 {
-            (fault.throttle / 50).clamp(1, buffer.len() as u64) as usize
+        let max_read = if fault.bytes_per_s > 0 {
+            (fault.bytes_per_s / 50).clamp(1, buffer.len() as u64) as usize
         } else {
             buffer.len()
         };
-        match from.read(&mut buffer[..most]) {
+        match from.read(&mut buffer[..max_read]) {
             Ok(0) => break,
             Ok(n) => {
-                std::thread::sleep(Duration::from_millis(fault.delay_ms / 2));
-                if fault.throttle > 0 {
+                std::thread::sleep(Duration::from_millis(fault.max_delay_ms / 2));
+                if fault.bytes_per_s > 0 {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                while d.fault().cut && !over.load(Ordering::Relaxed) {
-                    std::thread::sleep(LOOK);
+                while d.fault().cut && !stop.load(Ordering::Relaxed) {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 d.bytes.fetch_add(n as u64, Ordering::Relaxed);
                 if to.write_all(&buffer[..n]).is_err() {
