--- a/tests/printed_formats/admin_endpoint.rs
+++ b/tests/printed_formats/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The calls of the second address: each line as it is sent, and the answer.
+//! Requests to the admin endpoint: each request line as it is sent, and the response.
 
 use super::PROGRAM;
 use super::fixture;
@@ -9,8 +9,8 @@
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// Calls that a broker without peers answers alike in each run, in this order.
-const CALLS_WITHOUT_PEERS: &[&[u8]] = &[
+/// Requests, in this order, to which the responses of a broker without peers are the same in each run.
+const REQUESTS_WITHOUT_PEERS: &[&[u8]] = &[
     b"STATUS",
     b"METRICS",
     b"CLIENTS",
@@ -53,8 +53,8 @@
     &[b'x'; 600],
 ];
 
-/// Calls that change what a cluster knows; each is answered once it is on disk.
-const WORDS_IN_A_CLUSTER: &[&str] = &[
+/// Requests that change the replicated state of a cluster; each is answered once the change is on disk.
+const REQUESTS_IN_A_CLUSTER: &[&str] = &[
     "SUSPEND n-1 by=asha for=86400 why=new disk",
     "SUSPEND n-2",
     "RESTORE n-2 by=binu",
@@ -71,62 +71,64 @@
     "ADMIT nobody",
 ];
 
-/// Time between probes: long enough that a busy machine alone makes no peer suspected.
-const PROBE_MS: u64 = 400;
+/// Probe interval in milliseconds: long enough that load on the machine alone makes no peer suspected.
+const PROBE_INTERVAL_MS: u64 = 400;
 
-/// Numbers in the answer to PEERS that depend on time and load.
+/// Numeric fields of the response to PEERS that depend on time and load.
 pub const PEER_TIMINGS: &[&str] =
     &["heard_ms_ago", "incarnation", "slowness", "longest_turn_us", "longest_for_peers_us"];
 
-/// One call and its answer.
+/// Sends one request line; returns the line and its response.
 fn exchange(address: SocketAddr, line: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream.write_all(&[line, b"\n"].concat()).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    format!("> {}\n{answer}", line.escape_ascii())
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    format!("> {}\n{response}", line.escape_ascii())
 }
 
 #[test]
 fn a_broker_without_peers_answers_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let answers: String = CALLS_WITHOUT_PEERS.iter().map(|line| exchange(process.admin_addr, line)).collect();
-    fixture::assert_matches("admin_without_peers.txt", &answers);
+    let transcript: String =
+        REQUESTS_WITHOUT_PEERS.iter().map(|line| exchange(process.admin_addr, line)).collect();
+    fixture::assert_matches("admin_without_peers.txt", &transcript);
 }
 
-/// `tries` is hidden: on a slow machine a part may be tried at a second server too.
+/// `tries` is hidden: on a slow machine a part may be sent to a second server too.
 #[test]
-fn a_broker_with_queries_and_one_that_ends_answer_as_recorded() {
+fn a_serving_and_a_draining_broker_answer_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
     let mut client = Client::connect(site.listen_addr());
     assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     until("the query has ended", || process.metrics()["active"] == 0);
-    let mut answers = exchange(process.admin_addr, b"METRICS") + &exchange(process.admin_addr, b"CLIENTS");
+    let mut transcript = exchange(process.admin_addr, b"METRICS") + &exchange(process.admin_addr, b"CLIENTS");
     site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
     client.send().unwrap();
     until("a query is open", || process.metrics()["active"] == 1);
     process.signal("-TERM");
     process.wait_for_log("graceful shutdown begins");
     for line in [&b"STATUS"[..], b"RESUME", b"METRICS"] {
-        answers += &exchange(process.admin_addr, line);
+        transcript += &exchange(process.admin_addr, line);
     }
-    fixture::assert_matches("admin_at_work.txt", &hide_numbers(&answers, &["tries"]));
+    fixture::assert_matches("admin_at_work.txt", &hide_numbers(&transcript, &["tries"]));
 }
 
-/// A cluster of two brokers, with placeholders for the addresses of the first one's peer.
+/// A cluster of two brokers, with placeholders for the address at which the first reaches the second and for
+/// the admin address of the first.
 pub fn cluster_of_two(seed: u64) -> (ProcessCluster, Placeholders) {
     let mut cluster = ProcessCluster::new(PROGRAM, 2, seed);
     for broker in 0..cluster.len() {
-        cluster.settings_mut(broker).probe_interval_ms = PROBE_MS;
+        cluster.settings_mut(broker).probe_interval_ms = PROBE_INTERVAL_MS;
         cluster.start(broker);
     }
     cluster.wait_until_joined();
     let mut placeholders = Placeholders::default();
-    // A table fills the address up to its column's width.
+    // Tables pad the address to the width of its column.
     let address = cluster.links.address(0, 1).to_string();
     placeholders.add(format!("{address:<22}"), &format!("{:<22}", "<address of b-1>"));
     placeholders.add(address, "<address of b-1>");
@@ -134,9 +136,9 @@
     (cluster, placeholders)
 }
 
-/// Waits until the first broker and its peer have the same copy, on disk.
-pub fn wait_for_equal_copies(cluster: &ProcessCluster) {
-    until("both copies are equal", || {
+/// Waits until the first broker's store equals its peer's and is on disk.
+pub fn wait_for_equal_stores(cluster: &ProcessCluster) {
+    until("both stores are equal", || {
         let peers = cluster.json(0, "PEERS");
         let peer = &peers["peers"][0];
         let equal = peer["is"] == "up" && peer["same_copy"] == true && peers["standing"] == "caught up";
@@ -148,17 +150,17 @@
 fn a_broker_with_a_peer_answers_as_recorded() {
     let (cluster, mut placeholders) = cluster_of_two(21);
     assert_eq!(name(1), "b-1");
-    // Before REMOVE: how often a removed peer is not listened to depends on time.
-    wait_for_equal_copies(&cluster);
-    let mut answers = exchange(cluster.admin_address(0), b"PEERS");
-    for line in WORDS_IN_A_CLUSTER {
-        answers += &exchange(cluster.admin_address(0), line.as_bytes());
+    // Before REMOVE: how many messages of a removed peer are dropped depends on time.
+    wait_for_equal_stores(&cluster);
+    let mut transcript = exchange(cluster.admin_address(0), b"PEERS");
+    for line in REQUESTS_IN_A_CLUSTER {
+        transcript += &exchange(cluster.admin_address(0), line.as_bytes());
     }
-    wait_for_equal_copies(&cluster);
+    wait_for_equal_stores(&cluster);
     for line in ["STATE", "CONFLICTS", "STATUS", "METRICS"] {
-        answers += &exchange(cluster.admin_address(0), line.as_bytes());
+        transcript += &exchange(cluster.admin_address(0), line.as_bytes());
     }
     placeholders.add_state(&cluster.json(0, "STATE"));
-    let shown = hide_numbers(&placeholders.apply(&answers), PEER_TIMINGS);
+    let shown = hide_numbers(&placeholders.apply(&transcript), PEER_TIMINGS);
     fixture::assert_matches("admin_with_a_peer.txt", &shown);
 }
--- a/tests/printed_formats/commands.rs
+++ b/tests/printed_formats/commands.rs
@@ -1,7 +1,7 @@
 //! The commands: exit codes, and what they write to standard output and standard error.
 
 use super::PROGRAM;
-use super::admin_endpoint::{PEER_TIMINGS, cluster_of_two, wait_for_equal_copies};
+use super::admin_endpoint::{PEER_TIMINGS, cluster_of_two, wait_for_equal_stores};
 use super::fixture;
 use super::placeholder::{Placeholders, hide_numbers};
 use super::run::record;
@@ -10,19 +10,19 @@
 use pebbleturn_lab::running::Site;
 use std::net::TcpListener;
 
-/// Where the column of the time since a drain was learnt begins in the table of `roster show`.
-const LEARNT_COLUMN: usize = 87;
-/// Where the column of the time since a peer was heard begins in the table of `operate peers`.
-const HEARD_COLUMN: usize = 72;
+/// Start of the column with the time since a drain became known, in the table of `roster show`.
+const DRAIN_AGE_COLUMN: usize = 87;
+/// Start of the column with the time since a peer last sent a message, in the table of `operate peers`.
+const LAST_MESSAGE_COLUMN: usize = 72;
 
 fn record_all(runs: &[&[&str]]) -> String {
     runs.iter().map(|arguments| record(arguments)).collect()
 }
 
-/// The lines with `<time>` in place of what stands from a column on, in lines that begin with this text.
+/// Replaces the text from `column` on with `<time>` in each line that begins with `line_start`.
 fn hide_last_column(text: &str, line_start: &str, column: usize) -> String {
     let hide = |line: &str| match line.get(..column) {
-        Some(kept) if line.starts_with(line_start) => format!("{kept}<time>\n"),
+        Some(prefix) if line.starts_with(line_start) => format!("{prefix}<time>\n"),
         _ => format!("{line}\n"),
     };
     text.lines().map(hide).collect()
@@ -59,10 +59,10 @@
     fixture::assert_matches("import.txt", &record_all(&runs));
 }
 
-/// A kept list of two servers, confirmed at this time by the clock, or never.
-fn kept_list(confirmed: Option<u64>) -> Vec<u8> {
+/// An encoded snapshot of two servers, last confirmed at this time (unix ns) or never.
+fn encoded_snapshot(confirmed: Option<u64>) -> Vec<u8> {
     let node = |id: &str, state| {
-        let fact = NodeRecord {
+        let node_record = NodeRecord {
             id: id.into(),
             addr: Some("127.0.0.1:80".parse().unwrap()),
             zone: "a".into(),
@@ -71,19 +71,19 @@
             state,
             started: 0,
         };
-        SnapshotNode { record: fact, epoch: 0, version: 4, received: 1, after_reset: false, confirmed }
+        SnapshotNode { record: node_record, epoch: 0, version: 4, received: 1, after_reset: false, confirmed }
     };
     let nodes = vec![node("s-1", NodeState::Ready), node("s-2", NodeState::Terminating)];
-    let whole = Some((0, 4, 1));
-    let list = Snapshot {
+    let last_full_list = Some((0, 4, 1));
+    let roster_snapshot = Snapshot {
         written: 1,
         last_confirmed: confirmed,
-        full_list: whole,
+        full_list: last_full_list,
         pruned_up_to: None,
         rate: ChangeRate::NONE,
         nodes,
     };
-    snapshot::encode(&list).unwrap()
+    snapshot::encode(&roster_snapshot).unwrap()
 }
 
 #[test]
@@ -94,9 +94,9 @@
         std::fs::write(&path, bytes).unwrap();
         path.to_str().unwrap().to_owned()
     };
-    let confirmed = file("confirmed.kept", &kept_list(Some(1)));
-    let unconfirmed = file("unconfirmed.kept", &kept_list(None));
-    let bytes = kept_list(None);
+    let confirmed = file("confirmed.kept", &encoded_snapshot(Some(1)));
+    let unconfirmed = file("unconfirmed.kept", &encoded_snapshot(None));
+    let bytes = encoded_snapshot(None);
     let damaged = file("damaged.kept", &bytes[..bytes.len() - 7]);
     let runs: [&[&str]; 7] = [
         &["roster", "show", "--json", &confirmed],
@@ -109,18 +109,18 @@
     ];
     let mut placeholders = Placeholders::default();
     placeholders.add(directory.path().display(), "<directory>");
-    let shown = hide_numbers(&placeholders.apply(&record_all(&runs)), &["age_s", "learnt_s"]);
-    fixture::assert_matches("roster_show.txt", &hide_last_column(&shown, "s-2 ", LEARNT_COLUMN));
+    let output = hide_numbers(&placeholders.apply(&record_all(&runs)), &["age_s", "learnt_s"]);
+    fixture::assert_matches("roster_show.txt", &hide_last_column(&output, "s-2 ", DRAIN_AGE_COLUMN));
 }
 
 #[test]
 fn operate_prints_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let called = process.admin_addr.to_string();
-    let free = TcpListener::bind("127.0.0.1:0").unwrap();
-    let silent = free.local_addr().unwrap().to_string();
-    drop(free);
+    let admin_addr = process.admin_addr.to_string();
+    let unused_listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let unused_addr = unused_listener.local_addr().unwrap().to_string();
+    drop(unused_listener);
     let mut runs: Vec<Vec<&str>> = Vec::new();
     let calls: [&[&str]; 11] = [
         &["status"],
@@ -136,64 +136,64 @@
         &["remove", "b-1"],
     ];
     for call in calls {
-        runs.push([&["operate", &called], call].concat());
-        runs.push([&["operate", &called, "--json"], call].concat());
+        runs.push([&["operate", &admin_addr], call].concat());
+        runs.push([&["operate", &admin_addr, "--json"], call].concat());
     }
-    runs.push(vec!["operate", &called, "dance"]);
-    runs.push(vec!["operate", &called, "suspend"]);
+    runs.push(vec!["operate", &admin_addr, "dance"]);
+    runs.push(vec!["operate", &admin_addr, "suspend"]);
     runs.push(vec!["operate", "nowhere", "status"]);
-    runs.push(vec!["operate", &silent, "status"]);
+    runs.push(vec!["operate", &unused_addr, "status"]);
     let mut placeholders = Placeholders::default();
-    placeholders.add(&called, "<called address>");
-    placeholders.add(&silent, "<silent address>");
-    let shown: String = runs.iter().map(|run| record(run)).collect();
-    fixture::assert_matches("operate.txt", &placeholders.apply(&shown));
+    placeholders.add(&admin_addr, "<called address>");
+    placeholders.add(&unused_addr, "<silent address>");
+    let output: String = runs.iter().map(|run| record(run)).collect();
+    fixture::assert_matches("operate.txt", &placeholders.apply(&output));
 }
 
 #[test]
 fn commands_on_a_cluster_print_as_recorded() {
     let (mut cluster, mut placeholders) = cluster_of_two(22);
-    let called = cluster.admin_address(0).to_string();
+    let admin_addr = cluster.admin_address(0).to_string();
     let calls: [&[&str]; 4] = [
         &["suspend", "n-1", "--by", "asha", "--why", "new disk", "--for", "86400"],
         &["pause", "b-1"],
         &["remove", "b-1"],
         &["admit", "b-1", "--by", "asha"],
     ];
-    // Before `remove`: how often a removed peer is not listened to depends on time.
-    wait_for_equal_copies(&cluster);
-    let mut shown = record(&["operate", &called, "peers"]);
-    shown += &record(&["operate", &called, "--json", "peers"]);
+    // Before `remove`: how many messages of a removed peer are dropped depends on time.
+    wait_for_equal_stores(&cluster);
+    let mut output = record(&["operate", &admin_addr, "peers"]);
+    output += &record(&["operate", &admin_addr, "--json", "peers"]);
     for call in calls {
-        shown += &record(&[&["operate", &called, "--json"], call].concat());
+        output += &record(&[&["operate", &admin_addr, "--json"], call].concat());
     }
-    wait_for_equal_copies(&cluster);
+    wait_for_equal_stores(&cluster);
     for call in ["state", "conflicts"] {
-        shown += &record(&["operate", &called, call]);
-        shown += &record(&["operate", &called, "--json", call]);
+        output += &record(&["operate", &admin_addr, call]);
+        output += &record(&["operate", &admin_addr, "--json", call]);
     }
     placeholders.add_state(&cluster.json(0, "STATE"));
     cluster.kill(0);
     cluster.kill(1);
-    shown += &record_state_of_disks(&cluster.state_dir(0), &mut placeholders);
-    let shown = hide_numbers(&placeholders.apply(&shown), PEER_TIMINGS);
-    fixture::assert_matches("cluster.txt", &hide_last_column(&shown, "b-1 ", HEARD_COLUMN));
+    output += &record_state_commands(&cluster.state_dir(0), &mut placeholders);
+    let output = hide_numbers(&placeholders.apply(&output), PEER_TIMINGS);
+    fixture::assert_matches("cluster.txt", &hide_last_column(&output, "b-1 ", LAST_MESSAGE_COLUMN));
 }
 
-/// `state show` and `state diff`, against nothing and against an empty directory.
-fn record_state_of_disks(kept: &std::path::Path, placeholders: &mut Placeholders) -> String {
-    let empty = tempfile::tempdir().unwrap();
-    let (kept, empty) = (kept.to_str().unwrap(), empty.path().to_str().unwrap());
-    placeholders.add(kept, "<kept>");
-    placeholders.add(empty, "<empty>");
-    let mut shown = String::new();
+/// Runs `state show` and `state diff` with a state directory, an empty directory and a missing one.
+fn record_state_commands(state_dir: &std::path::Path, placeholders: &mut Placeholders) -> String {
+    let empty_dir = tempfile::tempdir().unwrap();
+    let (state_dir, empty_dir) = (state_dir.to_str().unwrap(), empty_dir.path().to_str().unwrap());
+    placeholders.add(state_dir, "<kept>");
+    placeholders.add(empty_dir, "<empty>");
+    let mut output = String::new();
     for format in [&[][..], &["--json"]] {
-        shown += &record(&[&["state", "show", kept], format].concat());
-        shown += &record(&[&["state", "show", empty], format].concat());
-        shown += &record(&[&["state", "show", "missing"], format].concat());
-        shown += &record(&[&["state", "diff", kept], format].concat());
-        shown += &record(&[&["state", "diff", kept, kept], format].concat());
-        shown += &record(&[&["state", "diff", empty, kept], format].concat());
+        output += &record(&[&["state", "show", state_dir], format].concat());
+        output += &record(&[&["state", "show", empty_dir], format].concat());
+        output += &record(&[&["state", "show", "missing"], format].concat());
+        output += &record(&[&["state", "diff", state_dir], format].concat());
+        output += &record(&[&["state", "diff", state_dir, state_dir], format].concat());
+        output += &record(&[&["state", "diff", empty_dir, state_dir], format].concat());
     }
-    shown
+    output
 }
--- a/tests/printed_formats/fixture.rs
+++ b/tests/printed_formats/fixture.rs
@@ -1,16 +1,16 @@
-//! Fixture files, and the comparison with them.
+//! Fixture files and comparison with them.
 
 use std::path::PathBuf;
 
-/// Where this is set, a fixture that does not exist is written.
+/// If this environment variable is set, a fixture that does not exist is written.
 const WRITE_VARIABLE: &str = "PEBBLETURN_WRITE_FIXTURES";
 
-/// The path of a fixture or of an input.
+/// The path of a fixture or an input file.
 pub fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/printed").join(name)
 }
 
-/// Fails with the first line in which the text differs from the fixture of this name.
+/// Panics with the first line in which the text differs from the fixture of this name.
 pub fn assert_matches(name: &str, actual: &str) {
     let path = path(name);
     if !path.exists() && std::env::var_os(WRITE_VARIABLE).is_some() {
@@ -22,7 +22,7 @@
     }
 }
 
-/// The first line that differs, from both texts; none where the texts are equal.
+/// The first differing line of both texts; none if the texts are equal.
 fn first_difference(expected: &str, actual: &str) -> Option<String> {
     if expected == actual {
         return None;
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn the_first_line_that_differs_is_told() {
+fn the_first_line_that_differs_is_reported() {
     assert_eq!(first_difference("a\nb\n", "a\nb\n"), None);
-    let changed = first_difference("a\nb\nc\n", "a\nB\nC\n").unwrap();
-    assert!(changed.starts_with("line 2 differs"), "{changed}");
-    let shorter = first_difference("a\nb\n", "a\nb").unwrap();
-    assert!(shorter.starts_with("line 3 differs"), "{shorter}");
+    let changed_line = first_difference("a\nb\nc\n", "a\nB\nC\n").unwrap();
+    assert!(changed_line.starts_with("line 2 differs"), "{changed_line}");
+    let missing_line = first_difference("a\nb\n", "a\nb").unwrap();
+    assert!(missing_line.starts_with("line 3 differs"), "{missing_line}");
 }
--- a/tests/printed_formats/main.rs
+++ b/tests/printed_formats/main.rs
@@ -1,8 +1,9 @@
-//! Records of what the programs print and send, compared byte for byte with fixtures.
+//! Compares what the programs print and send byte for byte with recorded fixtures.
 //!
-//! The fixtures in `tests/fixtures/printed/` were written by the program before its code was renamed and reshaped.
-//! They hold for scripts of the staff, the simulator, shard servers, discovery and clients: none may see a change.
-//! To add a record, run the test with `PEBBLETURN_WRITE_FIXTURES=1`; a fixture that exists is never overwritten.
+//! The fixtures in `tests/fixtures/printed/` were written by the program before its code was renamed and
+//! refactored. The staff's scripts, the simulator, shard servers, discovery and clients depend on these
+//! formats, so none may change. To add a fixture, run the test with `PEBBLETURN_WRITE_FIXTURES=1`; a fixture
+//! that exists is never overwritten.
 
 mod admin_endpoint;
 mod commands;
@@ -12,5 +13,5 @@
 mod run;
 mod simulator;
 
-/// The broker's program.
+/// The path of the broker's executable.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pebbleturn");
--- a/tests/printed_formats/network.rs
+++ b/tests/printed_formats/network.rs
@@ -1,4 +1,4 @@
-//! What a broker of the platform sends: to clients, to shard servers and to discovery.
+//! What a broker run by the platform sends to clients, shard servers and discovery.
 
 use super::PROGRAM;
 use super::fixture;
@@ -11,10 +11,10 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// What stand-ins have read, one message an entry.
+/// Messages that stand-ins have received, one per entry.
 type Recorded = Arc<Mutex<Vec<Vec<u8>>>>;
 
-/// Requests of clients, in this order, each on a connection of its own.
+/// Client requests, in this order, each on a new connection.
 const REQUESTS: &[&str] = &[
     "GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n",
     "GET /nowhere HTTP/1.1\r\nConnection: close\r\n\r\n",
@@ -22,7 +22,7 @@
     "no request\r\n\r\n",
 ];
 
-/// A query of one part.
+/// The body of a query with one part.
 const QUERY_BODY: &str = r#"{"segments":[{"segment":0,"boost":1.0}],"text":"t"}"#;
 
 fn query(id: &str) -> String {
@@ -32,7 +32,7 @@
     )
 }
 
-/// A shard server that records frames, and answers the parts of the queries whose ids begin with 1.
+/// A shard server that records frames and answers only the parts of queries whose ids begin with 1.
 fn recording_server(recorded: Recorded) -> SocketAddr {
     listen(move |mut stream| {
         loop {
@@ -51,36 +51,36 @@
     })
 }
 
-/// Stands before discovery and records the heads of requests.
-fn recording_discovery(behind: SocketAddr, recorded: Recorded) -> SocketAddr {
+/// A proxy in front of discovery that records the heads of requests.
+fn recording_discovery(discovery_addr: SocketAddr, recorded: Recorded) -> SocketAddr {
     listen(move |mut stream| {
         let (head, _) = read_http(&mut stream)?;
         recorded.lock().unwrap().push(head.clone().into_bytes());
-        let mut discovery = TcpStream::connect(behind).ok()?;
+        let mut discovery = TcpStream::connect(discovery_addr).ok()?;
         discovery.write_all(head.as_bytes()).ok()?;
         std::io::copy(&mut discovery, &mut stream).ok()?;
         None
     })
 }
 
-/// The first message that a condition holds for, escaped.
-fn first(recorded: &Recorded, holds: impl Fn(&[u8]) -> bool) -> Option<String> {
+/// The first message that satisfies the condition, escaped.
+fn first_message(recorded: &Recorded, is_match: impl Fn(&[u8]) -> bool) -> Option<String> {
     let messages = recorded.lock().unwrap();
-    let message = messages.iter().find(|message| holds(message))?;
+    let message = messages.iter().find(|message| is_match(message))?;
     Some(message.escape_ascii().to_string())
 }
 
-/// A frame's text with `d=<wait>` in place of the time that is left for the part.
-fn hide_wait(frame: &str) -> String {
+/// Replaces the remaining time of the part in a frame's text: `d=<wait>`.
+fn hide_remaining_time(frame: &str) -> String {
     let (before, after) = frame.split_once(" d=").unwrap();
-    let (wait, rest) = after.split_once(' ').unwrap();
-    // The frame's length counts these digits.
-    assert!(wait.len() == 4 && wait.bytes().all(|byte| byte.is_ascii_digit()), "{frame}");
+    let (remaining_time, rest) = after.split_once(' ').unwrap();
+    // The length prefix of the frame depends on the number of digits.
+    assert!(remaining_time.len() == 4 && remaining_time.bytes().all(|byte| byte.is_ascii_digit()), "{frame}");
     format!("{before} d=<wait> {rest}")
 }
 
-fn answer(door: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(door).unwrap();
+fn exchange(listen_addr: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(listen_addr).unwrap();
     stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     let (head, body) = read_http(&mut stream).unwrap();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_small_exchange_is_sent_as_recorded() {
+fn messages_are_sent_as_recorded() {
     let mut site = Site::new(PROGRAM);
     let (frames, requests) = (Recorded::default(), Recorded::default());
     for cell in 0..3 {
@@ -98,20 +98,22 @@
     }
     site.directory.addr = recording_discovery(site.directory.addr, requests.clone());
     let process = site.start();
-    let mut sent: String = REQUESTS.iter().map(|request| answer(site.listen_addr(), request)).collect();
-    sent += &answer(site.listen_addr(), &query("1000000000000001"));
-    let request = first(&frames, |frame| frame[4..].starts_with(b"R1")).unwrap();
-    sent += &format!("shard server receives\n{}\n", hide_wait(&request));
-    // The client of a query that nobody answers hangs up.
+    let mut sent: String = REQUESTS.iter().map(|request| exchange(site.listen_addr(), request)).collect();
+    sent += &exchange(site.listen_addr(), &query("1000000000000001"));
+    let request = first_message(&frames, |frame| frame[4..].starts_with(b"R1")).unwrap();
+    sent += &format!("shard server receives\n{}\n", hide_remaining_time(&request));
+    // A client disconnects while its query is unanswered.
     let mut client = TcpStream::connect(site.listen_addr()).unwrap();
     client.write_all(query("2000000000000001").as_bytes()).unwrap();
-    until("its part is out", || first(&frames, |frame| frame[4..].starts_with(b"R2")).is_some());
+    until("the shard server has received the part", || {
+        first_message(&frames, |frame| frame[4..].starts_with(b"R2")).is_some()
+    });
     client.shutdown(Shutdown::Both).unwrap();
-    until("its part is called off", || first(&frames, |frame| frame[4] == b'A').is_some());
-    let cancelled = first(&frames, |frame| frame[4] == b'A').unwrap();
-    sent += &format!("shard server receives\n{cancelled}\n");
-    let asked = first(&requests, |_| true).unwrap();
-    sent += &format!("discovery receives\n{asked}\n");
+    until("the part is cancelled", || first_message(&frames, |frame| frame[4] == b'A').is_some());
+    let cancellation = first_message(&frames, |frame| frame[4] == b'A').unwrap();
+    sent += &format!("shard server receives\n{cancellation}\n");
+    let discovery_request = first_message(&requests, |_| true).unwrap();
+    sent += &format!("discovery receives\n{discovery_request}\n");
     let mut placeholders = Placeholders::default();
     placeholders.add(site.directory.addr, "<discovery>");
     drop(process);
