--- a/tests/stored_formats/fixtures.rs
+++ b/tests/stored_formats/fixtures.rs
@@ -1,13 +1,13 @@
-//! Files in `tests/fixtures/stored/`: how they are found, compared and damaged.
+//! Finds, compares and damages the files in `tests/fixtures/stored/`.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Bytes that are shown on either side of the first difference.
-const CONTEXT: usize = 24;
-/// How long the program may take to read or write its files.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Number of bytes shown before and after the first difference.
+const CONTEXT_BYTES: usize = 24;
+/// Maximum time for the program to read or write its files.
+pub const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The bytes of one file or frame, with its path below `tests/fixtures/stored/`.
 pub struct Fixture {
@@ -28,7 +28,7 @@
         std::fs::write(path, &self.bytes).unwrap();
     }
 
-    /// Fails where these bytes are not those on disk, and shows where they begin to differ.
+    /// Panics if these bytes differ from those on disk, and shows the first difference.
     pub fn assert_unchanged(&self) {
         let stored = stored(&self.name);
         if stored == self.bytes {
@@ -46,8 +46,8 @@
 }
 
 fn excerpt(bytes: &[u8], at: usize) -> String {
-    let end = bytes.len().min(at + CONTEXT);
-    let start = at.saturating_sub(CONTEXT).min(end);
+    let end = bytes.len().min(at + CONTEXT_BYTES);
+    let start = at.saturating_sub(CONTEXT_BYTES).min(end);
     bytes[start..end].escape_ascii().to_string()
 }
 
@@ -70,7 +70,7 @@
     names
 }
 
-/// What is in a directory, sorted.
+/// The names of the entries of a directory, sorted.
 pub fn file_names(directory: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(directory).unwrap();
     let mut names: Vec<String> =
@@ -86,23 +86,23 @@
     directory
 }
 
-/// Waits for something that a thread of the program does.
+/// Waits until a condition holds that a thread of the program brings about.
 pub fn wait_until(mut is_done: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + IO_TIMEOUT;
     while !is_done() {
-        assert!(Instant::now() < deadline, "not done in time");
+        assert!(Instant::now() < deadline, "the condition did not hold within {IO_TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// A copy in which one bit in the middle is flipped.
+/// A copy with one bit in the middle flipped.
 pub fn flipped(bytes: &[u8]) -> Vec<u8> {
     let mut damaged = bytes.to_vec();
     damaged[bytes.len() / 2] ^= 0x10;
     damaged
 }
 
-/// A copy that lacks its last byte.
+/// A copy without its last byte.
 pub fn truncated(bytes: &[u8]) -> Vec<u8> {
     bytes[..bytes.len() - 1].to_vec()
 }
--- a/tests/stored_formats/gossip_frames.rs
+++ b/tests/stored_formats/gossip_frames.rs
@@ -1,7 +1,7 @@
-//! Gossip frames: datagrams in both versions and for every purpose, and every line of a stream.
+//! Gossip frames: datagrams in both versions and with every purpose, and stream frames of every kind.
 
 use super::fixtures::{Fixture, flipped, stored, truncated};
-use super::samples::{BROKER, ORIGIN, SERVER, told_and_spent, words};
+use super::samples::{BROKER, ORIGIN, SERVER, command_facts, facts_without_commands};
 use pebbleturn::gossip::codec::{
     self, Datagram, FIRST_VERSION, FrameError, LATEST_VERSION, MAX_DATAGRAM_BYTES, Sender, StreamFrame,
 };
@@ -11,10 +11,10 @@
 
 const FORMAT: &str = "gossip";
 const CLUSTER: &str = "clüster";
-/// The digest at the root of a copy that holds all facts of the samples. Peers compare it with their own.
+/// The root digest of a store that holds all facts of the samples. Peers compare it with their own.
 const ROOT: u64 = 5_247_899_228_306_079_608;
-/// Bytes before a frame on a stream that tell its length.
-const LENGTH_PREFIX: usize = 4;
+/// Size in bytes of the length prefix of a stream frame.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 struct DatagramSample {
     name: String,
@@ -22,9 +22,9 @@
     datagram: Datagram,
 }
 
-struct LineSample {
+struct StreamSample {
     name: String,
-    line: StreamFrame,
+    frame: StreamFrame,
 }
 
 fn sender() -> Sender {
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is said of a peer in each status.
+/// A status update for each status.
 fn status_updates() -> Vec<StatusUpdate> {
     let update = |name: &str, incarnation, status| StatusUpdate { name: name.into(), incarnation, status };
     vec![
@@ -48,21 +48,22 @@
 }
 
 fn all_facts() -> Vec<Fact> {
-    [words(), told_and_spent()].concat()
+    [command_facts(), facts_without_commands()].concat()
 }
 
 fn probes() -> [Probe; 5] {
-    let ask = Probe::PingRequest { sequence: u32::MAX, name: "brøker-3".into() };
+    let ping_request = Probe::PingRequest { sequence: u32::MAX, name: "brøker-3".into() };
     [
         Probe::Gossip,
         Probe::Ping { sequence: 8 },
         Probe::Ack { sequence: 300 },
-        ask,
+        ping_request,
         Probe::Nack { sequence: 9 },
     ]
 }
 
-/// The name of a purpose. A new one does not compile before it has a name, and so a fixture.
+/// The name of a purpose in the names of fixtures. The match is exhaustive, so that a new variant needs a
+/// name and thus a fixture.
 fn probe_name(probe: &Probe) -> &'static str {
     match probe {
         Probe::Gossip => "news",
@@ -73,15 +74,15 @@
     }
 }
 
-/// A datagram for every purpose in each version. Only news holds rumours and facts.
+/// A datagram for every purpose in each version. Only gossip datagrams hold status updates and facts.
 fn datagram_samples() -> Vec<DatagramSample> {
     let mut samples = Vec::new();
     for version in FIRST_VERSION..=LATEST_VERSION {
         for probe in probes() {
             let name = format!("{FORMAT}/datagram-v{version}-{}.frame", probe_name(&probe));
-            let is_news = probe == Probe::Gossip;
+            let is_gossip = probe == Probe::Gossip;
             let (status_updates, facts) =
-                if is_news { (status_updates(), all_facts()) } else { Default::default() };
+                if is_gossip { (status_updates(), all_facts()) } else { Default::default() };
             let root = (version == LATEST_VERSION).then_some(ROOT);
             let datagram = Datagram { sender: sender(), probe, status_updates, facts, root };
             samples.push(DatagramSample { name, version, datagram });
@@ -90,7 +91,8 @@
     samples
 }
 
-/// The name of a message of a walk; see `probe_name`. Two kinds of message have an option, and a name for each state.
+/// The name of an anti-entropy message in the names of fixtures; see `probe_name`. Two variants have an
+/// optional field, and one name with and one without it.
 fn message_name(message: &SyncMessage) -> &'static str {
     match message {
         SyncMessage::Begin { .. } => "begin",
@@ -106,76 +108,77 @@
     }
 }
 
-/// A copy that holds all facts: digests are compared between peers, and so must stay as they are.
-fn copy() -> StateStore {
-    let mut copy = StateStore::new(Origin(1), StoreLimits::default());
+/// A store that holds all facts. Peers compare digests, so its digests must not change.
+fn store() -> StateStore {
+    let mut store = StateStore::new(Origin(1), StoreLimits::default());
     for (key, entry) in all_facts() {
-        assert_eq!(copy.join(&key, &entry, u64::MAX), Ok(true));
+        assert_eq!(store.join(&key, &entry, u64::MAX), Ok(true));
     }
-    copy
+    store
 }
 
-fn messages() -> [SyncMessage; 10] {
-    let copy = copy();
-    let tree = copy.tree();
+fn sync_messages() -> [SyncMessage; 10] {
+    let store = store();
+    let tree = store.tree();
     let branch = tree.branches().iter().position(|digest| *digest != 0).unwrap() as u8;
-    let place = SyncPosition { key: FactKey::Site("sité".into()), parts: 300 };
+    let position = SyncPosition { key: FactKey::Site("sité".into()), parts: 300 };
     [
         SyncMessage::Begin { root: ROOT },
         SyncMessage::BranchDigests { digests: tree.branches().to_vec() },
         SyncMessage::RequestLeaves { branches: vec![0, 63] },
         SyncMessage::LeafDigests { digests: vec![(branch, tree.leaves(branch)), (5, vec![])] },
         SyncMessage::RequestFacts { leaves: vec![1, 4095], from: None },
-        SyncMessage::RequestFacts { leaves: vec![4095], from: Some(place.clone()) },
+        SyncMessage::RequestFacts { leaves: vec![4095], from: Some(position.clone()) },
         SyncMessage::Facts { facts: all_facts(), resume_at: None },
-        SyncMessage::Facts { facts: words(), resume_at: Some((4095, place)) },
-        SyncMessage::Push { facts: told_and_spent() },
+        SyncMessage::Facts { facts: command_facts(), resume_at: Some((4095, position)) },
+        SyncMessage::Push { facts: facts_without_commands() },
         SyncMessage::PushAccepted,
     ]
 }
 
-fn line_name(line: &StreamFrame) -> &'static str {
-    match line {
+fn frame_name(frame: &StreamFrame) -> &'static str {
+    match frame {
         StreamFrame::Hello { .. } => "hello",
         StreamFrame::Sync(message) => message_name(message),
     }
 }
 
-fn line_samples() -> Vec<LineSample> {
+fn stream_samples() -> Vec<StreamSample> {
     let hello = StreamFrame::Hello { sender: sender(), status_updates: status_updates() };
-    let lines = [hello].into_iter().chain(messages().map(StreamFrame::Sync));
-    let sample = |line| LineSample { name: format!("{FORMAT}/stream-{}.frame", line_name(&line)), line };
-    lines.map(sample).collect()
+    let frames = [hello].into_iter().chain(sync_messages().map(StreamFrame::Sync));
+    let sample =
+        |frame| StreamSample { name: format!("{FORMAT}/stream-{}.frame", frame_name(&frame)), frame };
+    frames.map(sample).collect()
 }
 
-/// Every datagram, and every line of a stream behind its length.
-pub fn written() -> Vec<Fixture> {
+/// All datagrams, and all stream frames with their length prefixes.
+pub fn build_fixtures() -> Vec<Fixture> {
     let datagram = |s: DatagramSample| Fixture { name: s.name, bytes: s.datagram.encode(s.version) };
-    let line = |s: LineSample| Fixture { name: s.name, bytes: s.line.encode() };
+    let frame = |s: StreamSample| Fixture { name: s.name, bytes: s.frame.encode() };
     let datagrams = datagram_samples().into_iter().map(datagram);
-    datagrams.chain(line_samples().into_iter().map(line)).collect()
+    datagrams.chain(stream_samples().into_iter().map(frame)).collect()
 }
 
-/// A datagram from its fixture.
+/// The datagram in a fixture.
 fn read_datagram(name: &str) -> Datagram {
     Datagram::decode(&stored(&format!("{FORMAT}/{name}")), LATEST_VERSION).unwrap()
 }
 
-/// The frame in a fixture of a stream, without its length.
+/// The stream frame in a fixture, without its length prefix.
 fn stored_frame(name: &str) -> Vec<u8> {
     let bytes = stored(name);
     assert_eq!(codec::frame_end(&bytes), Ok(Some(bytes.len())), "{name}");
-    bytes[LENGTH_PREFIX..].to_vec()
+    bytes[LENGTH_PREFIX_BYTES..].to_vec()
 }
 
 #[test]
 fn every_frame_is_written_as_before() {
-    written().iter().for_each(Fixture::assert_unchanged);
+    build_fixtures().iter().for_each(Fixture::assert_unchanged);
 }
 
 #[test]
-fn the_digest_of_a_copy_is_as_before() {
-    assert_eq!(copy().tree().root(), ROOT);
+fn the_root_digest_of_a_store_is_as_before() {
+    assert_eq!(store().tree().root(), ROOT);
 }
 
 #[test]
@@ -188,25 +191,28 @@
 }
 
 #[test]
-fn every_line_is_read() {
-    for sample in line_samples() {
-        assert_eq!(StreamFrame::decode(&stored_frame(&sample.name)), Ok(sample.line), "{}", sample.name);
+fn every_stream_frame_is_read() {
+    for sample in stream_samples() {
+        assert_eq!(StreamFrame::decode(&stored_frame(&sample.name)), Ok(sample.frame), "{}", sample.name);
     }
 }
 
 #[test]
 fn datagrams_are_read_field_by_field() {
-    let news = read_datagram("datagram-v2-news.frame");
-    assert_eq!((news.sender.cluster_id, news.sender.name.as_str()), (codec::cluster_id(CLUSTER), BROKER));
-    assert_eq!((news.sender.origin, news.sender.incarnation), (ORIGIN, 1_700_000_000_000));
-    assert_eq!((news.sender.latest_version, news.root), (2, Some(ROOT)));
-    let statuses: Vec<PeerStatus> = news.status_updates.iter().map(|update| update.status).collect();
+    let gossip = read_datagram("datagram-v2-news.frame");
+    assert_eq!((gossip.sender.cluster_id, gossip.sender.name.as_str()), (codec::cluster_id(CLUSTER), BROKER));
+    assert_eq!((gossip.sender.origin, gossip.sender.incarnation), (ORIGIN, 1_700_000_000_000));
+    assert_eq!((gossip.sender.latest_version, gossip.root), (2, Some(ROOT)));
+    let statuses: Vec<PeerStatus> = gossip.status_updates.iter().map(|update| update.status).collect();
     assert_eq!(statuses, [PeerStatus::Alive, PeerStatus::Suspect, PeerStatus::Down]);
-    assert_eq!((news.status_updates[1].name.as_str(), news.status_updates[1].incarnation), ("broker-4", 300));
-    assert_eq!(news.facts[0].0, FactKey::Server(SERVER.into()));
-    let ask = read_datagram("datagram-v1-ask.frame");
-    assert_eq!(ask.probe, Probe::PingRequest { sequence: u32::MAX, name: "brøker-3".into() });
-    assert_eq!(ask.root, None);
+    assert_eq!(
+        (gossip.status_updates[1].name.as_str(), gossip.status_updates[1].incarnation),
+        ("broker-4", 300)
+    );
+    assert_eq!(gossip.facts[0].0, FactKey::Server(SERVER.into()));
+    let ping_request = read_datagram("datagram-v1-ask.frame");
+    assert_eq!(ping_request.probe, Probe::PingRequest { sequence: u32::MAX, name: "brøker-3".into() });
+    assert_eq!(ping_request.root, None);
 }
 
 #[test]
@@ -232,8 +238,8 @@
 }
 
 #[test]
-fn damaged_lines_are_refused() {
-    for sample in line_samples() {
+fn damaged_stream_frames_are_refused() {
+    for sample in stream_samples() {
         let frame = stored_frame(&sample.name);
         assert_eq!(
             StreamFrame::decode(&flipped(&frame)),
@@ -247,7 +253,7 @@
             "{}",
             sample.name
         );
-        let whole = stored(&sample.name);
-        assert_eq!(codec::frame_end(&truncated(&whole)), Ok(None), "the rest is waited for");
+        let complete = stored(&sample.name);
+        assert_eq!(codec::frame_end(&truncated(&complete)), Ok(None), "an incomplete frame is not an error");
     }
 }
--- a/tests/stored_formats/handover_state.rs
+++ b/tests/stored_formats/handover_state.rs
@@ -1,4 +1,5 @@
-//! What one process leaves for the next at a hot restart: `N.state`, `N.list` and the empty `N.lock`.
+//! The files that a process leaves for the next one at a hot restart: `N.state`, `N.list` and the empty
+//! `N.lock`.
 
 use super::fixtures::{Fixture, directory_with, file_names, flipped, stored, truncated, wait_until};
 use super::samples::{SERVER, full_list};
@@ -9,17 +10,18 @@
 use std::path::Path;
 
 const FORMAT: &str = "handover";
-/// The list that the oldest process leaves.
+/// The endpoint list of the oldest process.
 const LIST: &str = "1.list";
-/// The states of the processes, the oldest first.
+/// The state files of the processes, the oldest first.
 const STATES: [&str; 3] = ["1.state", "2.state", "3.state"];
 
-/// The states of three processes at one address: the oldest leaves, the next serves, the youngest starts.
+/// The states of three processes at one address: the oldest drains, the next serves, the youngest starts.
 fn states() -> [ProcessState; 3] {
-    let server_words = [(SERVER, true, 11), ("server-2", false, 12)];
-    let servers =
-        server_words.map(|(id, out, at)| (id.to_owned(), Override { set_at: at, active: out })).into();
-    let leaving = ProcessState {
+    let server_overrides = [(SERVER, true, 11), ("server-2", false, 12)];
+    let servers = server_overrides
+        .map(|(id, suspended, at)| (id.to_owned(), Override { set_at: at, active: suspended }))
+        .into();
+    let draining = ProcessState {
         written_at: 1_700_000_000_000_000_001,
         stage: ProcessStage::Draining,
         overrides: Overrides { servers, pause: Some(Override { set_at: 13, active: true }) },
@@ -28,29 +30,29 @@
         open_query_ids: vec!["quéry-1".into(), "query-2".into()],
     };
     let pause = Some(Override { set_at: 14, active: false });
-    let words = Overrides { pause, ..Overrides::default() };
+    let pause_only = Overrides { pause, ..Overrides::default() };
     let serving = ProcessState {
         written_at: 2,
         stage: ProcessStage::Serving,
-        overrides: words,
+        overrides: pause_only,
         descriptor_lease: 96,
         ..ProcessState::default()
     };
     let starting = ProcessState { written_at: 3, ..ProcessState::default() };
-    [leaving, serving, starting]
+    [draining, serving, starting]
 }
 
-/// The files of the three processes; only the oldest has a list to leave.
-pub fn written() -> Vec<Fixture> {
+/// The files of the three processes; only the oldest publishes an endpoint list.
+pub fn build_fixtures() -> Vec<Fixture> {
     let directory = tempfile::tempdir().unwrap();
-    let mut shelves = Vec::new();
+    let mut state_directories = Vec::new();
     let mut list = Some(full_list());
     for (state, file) in states().into_iter().zip(STATES) {
-        let (_, mut shelf) = StateDirectory::open(directory.path()).unwrap();
-        assert!(shelf.publish(StateUpdate { state, snapshot: list.take() }).is_some());
-        // A state is renamed into its place once it is whole, after the list.
+        let (_, mut state_directory) = StateDirectory::open(directory.path()).unwrap();
+        assert!(state_directory.publish(StateUpdate { state, snapshot: list.take() }).is_some());
+        // A state file is renamed into place once it is complete, after the list file.
         wait_until(|| directory.path().join(file).exists());
-        shelves.push(shelf);
+        state_directories.push(state_directory);
     }
     let locks = ["1.lock", "2.lock", "3.lock"];
     let mut expected = [&STATES[..], &[LIST], &locks].concat();
@@ -65,14 +67,14 @@
     stored(&format!("{FORMAT}/{file}"))
 }
 
-/// What the next process finds in a directory.
-fn find(directory: &Path) -> StartupContents {
+/// What the next process reads from a directory at its start.
+fn read_at_startup(directory: &Path) -> StartupContents {
     StateDirectory::open(directory).unwrap().0
 }
 
 #[test]
 fn every_file_is_written_as_before() {
-    written().iter().for_each(Fixture::assert_unchanged);
+    build_fixtures().iter().for_each(Fixture::assert_unchanged);
 }
 
 #[test]
@@ -81,26 +83,26 @@
     for file in STATES {
         std::fs::write(directory.path().join(file), stored_file(file)).unwrap();
     }
-    let found = find(directory.path());
-    let errors: Vec<String> = found.errors.iter().map(ToString::to_string).collect();
+    let contents = read_at_startup(directory.path());
+    let errors: Vec<String> = contents.errors.iter().map(ToString::to_string).collect();
     assert_eq!(errors, Vec::<String>::new());
-    assert_eq!((found.serial, found.snapshots), (4, vec![full_list()]));
-    let read: Vec<ProcessState> = found.peers.into_iter().filter_map(|peer| peer.state).collect();
+    assert_eq!((contents.serial, contents.snapshots), (4, vec![full_list()]));
+    let read: Vec<ProcessState> = contents.peers.into_iter().filter_map(|peer| peer.state).collect();
     assert_eq!(read, states());
 }
 
 #[test]
 fn states_are_read_field_by_field() {
-    let [leaving, serving, starting] = STATES.map(|file| ProcessState::decode(&stored_file(file)).unwrap());
-    let stages = [leaving.stage, serving.stage, starting.stage];
+    let [draining, serving, starting] = STATES.map(|file| ProcessState::decode(&stored_file(file)).unwrap());
+    let stages = [draining.stage, serving.stage, starting.stage];
     assert_eq!(stages, [ProcessStage::Draining, ProcessStage::Serving, ProcessStage::Starting]);
     assert_eq!(
-        (leaving.written_at, leaving.descriptor_lease, leaving.in_flight),
+        (draining.written_at, draining.descriptor_lease, draining.in_flight),
         (1_700_000_000_000_000_001, 300, 41)
     );
-    assert_eq!(leaving.open_query_ids, ["quéry-1", "query-2"]);
-    assert_eq!(leaving.overrides.servers[SERVER], Override { set_at: 11, active: true });
-    assert_eq!(leaving.overrides.servers["server-2"], Override { set_at: 12, active: false });
+    assert_eq!(draining.open_query_ids, ["quéry-1", "query-2"]);
+    assert_eq!(draining.overrides.servers[SERVER], Override { set_at: 11, active: true });
+    assert_eq!(draining.overrides.servers["server-2"], Override { set_at: 12, active: false });
     assert_eq!(serving.overrides.pause, Some(Override { set_at: 14, active: false }));
     assert_eq!(starting.overrides.pause, None);
 }
@@ -111,9 +113,9 @@
         let bytes = stored_file(file);
         assert_eq!(ProcessState::decode(&flipped(&bytes)), Err(FileFormatError::Checksum));
         assert!(matches!(ProcessState::decode(&truncated(&bytes)), Err(FileFormatError::Length { .. })));
-        let found = find(directory_with(file, &flipped(&bytes)).path());
-        assert_eq!(found.peers[0].state, None);
-        assert_eq!(found.errors.len(), 1);
+        let contents = read_at_startup(directory_with(file, &flipped(&bytes)).path());
+        assert_eq!(contents.peers[0].state, None);
+        assert_eq!(contents.errors.len(), 1);
     }
 }
 
@@ -122,6 +124,6 @@
     let bytes = stored_file(LIST);
     assert_eq!(snapshot::decode(&flipped(&bytes)), Err(FileFormatError::Checksum));
     assert!(matches!(snapshot::decode(&truncated(&bytes)), Err(FileFormatError::Length { .. })));
-    let found = find(directory_with(LIST, &flipped(&bytes)).path());
-    assert_eq!((found.snapshots.len(), found.errors.len()), (0, 1));
+    let contents = read_at_startup(directory_with(LIST, &flipped(&bytes)).path());
+    assert_eq!((contents.snapshots.len(), contents.errors.len()), (0, 1));
 }
--- a/tests/stored_formats/kept_list.rs
+++ b/tests/stored_formats/kept_list.rs
@@ -1,7 +1,7 @@
-//! The kept list: `roster.kept`, and the older generation beside it.
+//! Snapshots of the endpoint list: `roster.kept` and the older generation.
 
 use super::fixtures::{Fixture, directory_with, flipped, stored, truncated};
-use super::samples::{SERVER, bare_list, full_list};
+use super::samples::{SERVER, full_list, minimal_list};
 use pebbleturn::membership::NodeState;
 use pebbleturn::membership::snapshot::{self, Snapshot, SnapshotError};
 use pebbleturn::storage::Disk;
@@ -9,10 +9,10 @@
 
 const FORMAT: &str = "kept_list";
 
-/// Both generations, as they are on disk after two writes.
-pub fn written() -> Vec<Fixture> {
+/// Both generations on disk after two writes.
+pub fn build_fixtures() -> Vec<Fixture> {
     let directory = tempfile::tempdir().unwrap();
-    for list in [bare_list(), full_list()] {
+    for list in [minimal_list(), full_list()] {
         snapshot_store::write(&Disk, directory.path(), &list).unwrap();
     }
     let file = |name| Fixture::of_file(FORMAT, directory.path(), name);
@@ -23,7 +23,7 @@
     stored(&format!("{FORMAT}/{file}"))
 }
 
-/// The list in a fixture, read from a directory as at a broker's start.
+/// The snapshot in a fixture, read from a directory as at a broker's start.
 fn read_generation(file: &str) -> Snapshot {
     let directory = directory_with(file, &stored_generation(file));
     let StoredSnapshots { snapshots: mut lists, problems } = snapshot_store::read(&Disk, directory.path());
@@ -33,7 +33,7 @@
 
 #[test]
 fn both_generations_are_written_as_before() {
-    written().iter().for_each(Fixture::assert_unchanged);
+    build_fixtures().iter().for_each(Fixture::assert_unchanged);
 }
 
 #[test]
@@ -58,11 +58,11 @@
     assert_eq!((list.last_confirmed, list.full_list, list.pruned_up_to), (None, None, None));
     assert_eq!(list.nodes[0].record.addr, Some("[2001:db8::2]:443".parse().unwrap()));
     assert_eq!(list.nodes[0].confirmed, None);
-    assert_eq!(list, bare_list());
+    assert_eq!(list, minimal_list());
 }
 
 #[test]
-fn damaged_copies_are_refused() {
+fn damaged_snapshots_are_refused() {
     for file in [CURRENT, OLDER] {
         let bytes = stored_generation(file);
         assert_eq!(snapshot::decode(&flipped(&bytes)), Err(SnapshotError::Checksum));
@@ -73,14 +73,15 @@
     }
 }
 
-/// Lists of earlier versions have another name for a drain and do not tell whether a list counted anew.
+/// Snapshots of earlier versions have `Draining` in place of `Terminating`, and no field `anew`, which
+/// states whether the node was in the first list after a reset of discovery's versions.
 #[test]
-fn a_list_of_an_earlier_version_is_read() {
+fn a_snapshot_of_an_earlier_version_is_read() {
     let text = String::from_utf8(stored_generation(OLDER)).unwrap();
     let (_, body) = text.split_once('\n').unwrap();
     let earlier = body.replace("\"Terminating\"", "\"Draining\"").replace("      \"anew\": false,\n", "");
     assert!(earlier.contains("Draining") && !earlier.contains("anew"));
     let checksum = crc32fast::hash(earlier.as_bytes());
     let bytes = format!("pebbleturn-roster 1 {} {checksum:08x}\n{earlier}", earlier.len());
-    assert_eq!(snapshot::decode(bytes.as_bytes()), Ok(bare_list()));
+    assert_eq!(snapshot::decode(bytes.as_bytes()), Ok(minimal_list()));
 }
--- a/tests/stored_formats/samples.rs
+++ b/tests/stored_formats/samples.rs
@@ -1,4 +1,4 @@
-//! Values that the fixtures hold. Between them they have every variant and both states of every option.
+//! Values that the fixtures hold. Together they cover every variant, and each option both set and unset.
 
 use pebbleturn::membership;
 use pebbleturn::membership::snapshot::{Snapshot, SnapshotNode};
@@ -11,12 +11,12 @@
 pub const SERVER: &str = "sörver-北-1";
 /// A broker's name.
 pub const BROKER: &str = "bróker-京-2";
-/// A process whose number takes all ten bytes of a varint.
+/// An origin whose number takes all ten bytes of a varint.
 pub const ORIGIN: Origin = Origin(0xfedc_ba98_7654_3210);
-/// Another one.
+/// The origin of a concurrent command.
 pub const OTHER_ORIGIN: Origin = Origin(300);
 
-/// A kept list in which every option is set and nodes are in every state.
+/// A list in which every option is set and nodes are in every state.
 pub fn full_list() -> Snapshot {
     Snapshot {
         written: 1_700_000_000_000_000_009,
@@ -28,8 +28,8 @@
     }
 }
 
-/// A kept list in which no option is set.
-pub fn bare_list() -> Snapshot {
+/// A list in which no option is set.
+pub fn minimal_list() -> Snapshot {
     Snapshot {
         written: 5,
         last_confirmed: None,
@@ -41,7 +41,7 @@
 }
 
 fn ready_node() -> SnapshotNode {
-    let fact = membership::NodeRecord {
+    let node_record = membership::NodeRecord {
         id: SERVER.into(),
         addr: Some("192.0.2.7:8080".parse().unwrap()),
         zone: "zone-ü".into(),
@@ -50,11 +50,18 @@
         state: membership::NodeState::Ready,
         started: 1_600_000_000_000_000_001,
     };
-    SnapshotNode { record: fact, epoch: 3, version: 69, received: 21, after_reset: true, confirmed: Some(22) }
+    SnapshotNode {
+        record: node_record,
+        epoch: 3,
+        version: 69,
+        received: 21,
+        after_reset: true,
+        confirmed: Some(22),
+    }
 }
 
 fn draining_node() -> SnapshotNode {
-    let fact = membership::NodeRecord {
+    let node_record = membership::NodeRecord {
         id: "server-2".into(),
         addr: Some("[2001:db8::2]:443".parse().unwrap()),
         zone: String::new(),
@@ -63,11 +70,18 @@
         state: membership::NodeState::Terminating,
         started: 0,
     };
-    SnapshotNode { record: fact, epoch: 2, version: 68, received: 31, after_reset: false, confirmed: None }
+    SnapshotNode {
+        record: node_record,
+        epoch: 2,
+        version: 68,
+        received: 31,
+        after_reset: false,
+        confirmed: None,
+    }
 }
 
 fn gone_node() -> SnapshotNode {
-    let fact = membership::NodeRecord {
+    let node_record = membership::NodeRecord {
         id: "server-3".into(),
         addr: None,
         zone: "b".into(),
@@ -77,7 +91,7 @@
         started: 41,
     };
     SnapshotNode {
-        record: fact,
+        record: node_record,
         epoch: 1,
         version: u64::MAX,
         received: 42,
@@ -86,9 +100,9 @@
     }
 }
 
-/// Words by hand on every kind of key that takes them, with every kind of value. On the server two words stand side
-/// by side.
-pub fn words() -> Vec<Fact> {
+/// Operator commands for every kind of key that takes them, with every kind of value. The server has two
+/// concurrent commands.
+pub fn command_facts() -> Vec<Fact> {
     let mut conflict = register(ORIGIN, 1, CommandValue::Set, Some(900));
     conflict.join(&register(OTHER_ORIGIN, 1, CommandValue::Clear, None), &Default::default());
     vec![
@@ -109,9 +123,10 @@
     ]
 }
 
-/// What discovery told and what was forgotten: the kinds of keys that take no words.
-pub fn told_and_spent() -> Vec<Fact> {
-    let spent = Ranges::try_from(vec![(1, 4), (7, 300)]).unwrap();
+/// Facts with the kinds of keys that take no operator commands: reports from discovery and garbage-collected
+/// dots.
+pub fn facts_without_commands() -> Vec<Fact> {
+    let collected_dots = Ranges::try_from(vec![(1, 4), (7, 300)]).unwrap();
     vec![
         (
             FactKey::Drain(SERVER.into()),
@@ -121,33 +136,33 @@
             FactKey::Start(SERVER.into()),
             FactValue::Latest(ProcessStart { started: 1_700_000_000, list_version: 0 }),
         ),
-        (FactKey::Collected(Origin(4)), FactValue::Collected(spent)),
+        (FactKey::Collected(Origin(4)), FactValue::Collected(collected_dots)),
     ]
 }
 
-/// A later word on the server of `words`, which takes the place of both that stand there.
-pub fn later_word() -> Fact {
-    let [(key, FactValue::Commands(before)), ..] = &words()[..] else {
-        unreachable!("the first fact has words")
+/// A later command for the server of `command_facts`, which supersedes both of its concurrent commands.
+pub fn superseding_command() -> Fact {
+    let [(key, FactValue::Commands(before)), ..] = &command_facts()[..] else {
+        unreachable!("the first fact has commands")
     };
     let mut after = before.clone();
-    after.record(Dot { origin: ORIGIN, sequence: 301 }, said(CommandValue::Set, None));
+    after.record(Dot { origin: ORIGIN, sequence: 301 }, operator_command(CommandValue::Set, None));
     (key.clone(), FactValue::Commands(after))
 }
 
-fn register(origin: Origin, seq: u64, value: CommandValue, until: Option<u64>) -> Register {
+fn register(origin: Origin, seq: u64, value: CommandValue, expiry: Option<u64>) -> Register {
     let mut register = Register::default();
-    register.record(Dot { origin, sequence: seq }, said(value, until));
+    register.record(Dot { origin, sequence: seq }, operator_command(value, expiry));
     register
 }
 
-fn said(value: CommandValue, until: Option<u64>) -> OperatorCommand {
+fn operator_command(value: CommandValue, expiry: Option<u64>) -> OperatorCommand {
     OperatorCommand {
         value,
         author: "whó".into(),
         reason: "why-✓".into(),
         broker: BROKER.into(),
         issued_at: 800,
-        expires_at: until,
+        expires_at: expiry,
     }
 }
