--- a/tests/recorded_decisions/digest.rs
+++ b/tests/recorded_decisions/digest.rs
@@ -1,7 +1,7 @@
 //! A digest of emitted values that does not depend on the names of types, fields or variants.
 //!
-//! Every value is written by hand, and every variant has a numeric tag here. The tags and the order of the fields
-//! are part of the record: a renamed variant keeps its tag.
+//! Values are encoded field by field, and every variant has a numeric tag here. The tags and the order of the
+//! fields are part of the record: a renamed variant keeps its tag.
 
 use pebbleturn::membership::{NodeChange, NodeState};
 use pebbleturn::{Action, Outcome, ReplicaEntry, ReplicaState};
@@ -20,7 +20,7 @@
     Outcome::NotSent,
 ];
 
-/// Number of kinds of [`Action`]; their tags lie below it.
+/// Number of variants of [`Action`]; their tags are lower than this.
 pub const ACTION_KINDS: usize = 8;
 
 /// The tag of an outcome.
@@ -38,9 +38,9 @@
     }
 }
 
-/// The tag of a replica's standing in the list.
-pub fn standing_tag(standing: ReplicaState) -> u8 {
-    match standing {
+/// The tag of a replica's state in the endpoint list.
+pub fn replica_state_tag(state: ReplicaState) -> u8 {
+    match state {
         ReplicaState::Active => 0,
         ReplicaState::Draining => 1,
         ReplicaState::Removed => 2,
@@ -48,7 +48,7 @@
 }
 
 /// The tag of a node's state.
-pub fn state_tag(state: NodeState) -> u8 {
+pub fn node_state_tag(state: NodeState) -> u8 {
     match state {
         NodeState::Ready => 0,
         NodeState::Terminating => 1,
@@ -70,14 +70,14 @@
     }
 }
 
-/// A running digest.
+/// An incremental digest.
 #[derive(Default)]
 pub struct Digest {
     hasher: Xxh3,
 }
 
 impl Digest {
-    /// The digest of all that was put in.
+    /// The digest of everything added so far.
     pub fn value(&self) -> u64 {
         self.hasher.digest()
     }
@@ -102,8 +102,8 @@
         self.put_u64(number.to_bits());
     }
 
-    pub fn put_bool(&mut self, yes: bool) {
-        self.put_tag(u8::from(yes));
+    pub fn put_bool(&mut self, value: bool) {
+        self.put_tag(u8::from(value));
     }
 
     pub fn put_bytes(&mut self, bytes: &[u8]) {
@@ -115,7 +115,7 @@
         self.put_bytes(text.as_bytes());
     }
 
-    /// Whether there is a value, and the value.
+    /// Whether there is a value, and the value if there is one.
     pub fn put_option<T>(&mut self, value: Option<T>, put: impl FnOnce(&mut Digest, T)) {
         self.put_bool(value.is_some());
         if let Some(value) = value {
@@ -133,25 +133,25 @@
         self.put_tag(outcome_tag(outcome));
     }
 
-    /// One line of the list of replicas.
-    pub fn put_listed(&mut self, line: &ReplicaEntry) {
-        self.put_u64(line.replica.0.into());
-        self.put_u64(line.zone.into());
-        self.put_u64(line.cell.into());
-        self.put_tag(standing_tag(line.state));
-        self.put_option(line.started, Digest::put_u64);
-        self.put_f64(line.weight);
+    /// One entry of the endpoint list.
+    pub fn put_replica_entry(&mut self, entry: &ReplicaEntry) {
+        self.put_u64(entry.replica.0.into());
+        self.put_u64(entry.zone.into());
+        self.put_u64(entry.cell.into());
+        self.put_tag(replica_state_tag(entry.state));
+        self.put_option(entry.started, Digest::put_u64);
+        self.put_f64(entry.weight);
     }
 
-    /// One change of the list, as membership and routing tell it on.
+    /// One change of a node, as membership and routing emit it.
     pub fn put_change(&mut self, change: &NodeChange) {
-        self.put_listed(&change.entry);
+        self.put_replica_entry(&change.entry);
         self.put_str(&change.id);
         self.put_option(change.addr, |digest, address| digest.put_str(&address.to_string()));
         self.put_str(&change.kind);
     }
 
-    /// Changes, where there was anything to tell.
+    /// The changes, if any were emitted.
     pub fn put_changes(&mut self, changes: Option<&[NodeChange]>) {
         self.put_option(changes, |digest, changes| digest.put_all(changes, Digest::put_change));
     }
@@ -169,13 +169,13 @@
                 self.put_u128(part.0);
                 self.put_u64((*attempt).into());
             }
-            Action::Answer { query, complete: whole } => {
+            Action::Answer { query, complete } => {
                 self.put_u128(query.0);
-                self.put_bool(*whole);
+                self.put_bool(*complete);
             }
-            Action::Reject { query, retry_after: wait } => {
+            Action::Reject { query, retry_after } => {
                 self.put_u128(query.0);
-                self.put_u64(*wait);
+                self.put_u64(*retry_after);
             }
             Action::Fail { query } => self.put_u128(query.0),
             Action::HealthCheck { replica } => self.put_u64(replica.0.into()),
--- a/tests/recorded_decisions/engine.rs
+++ b/tests/recorded_decisions/engine.rs
@@ -1,7 +1,8 @@
-//! The record of the exchange: all work it hands out, and what it tells of itself.
+//! The record of the query engine: all actions that it emits, and its counts and metrics.
 //!
-//! Covered: work, refusals, endings of attempts, answers to `begin`, due times, counts of what is held, and the
-//! figures of ended queries as far as they are numbers. Payloads are handed through and checked nowhere else here.
+//! Covered: actions, rejections, ends of attempts, results of `begin_attempt`, deadlines, counts of open
+//! work, and the metrics of the run as one JSON line. Payloads are passed through; nothing else in this
+//! directory checks them.
 
 use crate::common::{MS, S, class, replica_entry, settings};
 use crate::digest::Digest;
@@ -11,57 +12,57 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const EXCHANGE: Recorded = [0x2b7d_a566_5fdc_aead, 0x791b_0e95_3c3b_d446, 0x7703_661a_2ea1_a597];
+const QUERY_ENGINE: Recorded = [0x2b7d_a566_5fdc_aead, 0x791b_0e95_3c3b_d446, 0x7703_661a_2ea1_a597];
 
 const STEPS: u64 = 4000;
 const STEP: Nanos = 10 * MS;
-const OVERLOAD: std::ops::Range<u64> = 2000..2200;
-/// When the program's end is set, and for how long after that queries may go on.
-const END_SET_AT: u64 = 3900;
-const END_AFTER: Nanos = 300 * MS;
+const OVERLOAD_STEPS: std::ops::Range<u64> = 2000..2200;
+/// The step in which the shutdown deadline is set, and the time from that step to the deadline.
+const SHUTDOWN_STEP: u64 = 3900;
+const SHUTDOWN_GRACE: Nanos = 300 * MS;
 
-/// Least numbers of the common and of the rare kinds of work and answers.
-const LEAST_COMMON: u64 = 100;
-const LEAST_RARE: u64 = 5;
+/// Minimum counts of the common and of the rare kinds of actions and results.
+const MIN_COMMON: u64 = 100;
+const MIN_RARE: u64 = 5;
 
-/// How often each kind of work and answer came.
+/// How often each kind of action and result occurred.
 #[derive(Debug, Default)]
 struct Counts {
     calls: u64,
-    given_up: u64,
+    cancelled: u64,
     answered: u64,
-    refused: u64,
+    rejected: u64,
     failed: u64,
     watches: u64,
-    probes: u64,
-    refused_at_once: u64,
-    endings: u64,
-    not_begun: u64,
+    health_checks: u64,
+    rejected_on_submit: u64,
+    attempt_ends: u64,
+    not_started: u64,
 }
 
 impl Counts {
-    /// Whether each kind came often enough for the record to mean something.
-    fn are_enough(&self) -> bool {
-        let common = [self.calls, self.given_up, self.answered, self.refused_at_once, self.endings];
-        let rare = [self.refused, self.failed, self.watches, self.probes, self.not_begun];
-        common.iter().all(|count| *count >= LEAST_COMMON) && rare.iter().all(|count| *count >= LEAST_RARE)
+    /// Whether each kind occurred often enough for the record to be meaningful.
+    fn are_sufficient(&self) -> bool {
+        let common = [self.calls, self.cancelled, self.answered, self.rejected_on_submit, self.attempt_ends];
+        let rare = [self.rejected, self.failed, self.watches, self.health_checks, self.not_started];
+        common.iter().all(|count| *count >= MIN_COMMON) && rare.iter().all(|count| *count >= MIN_RARE)
     }
 }
 
-/// The exchange between simulated clients and servers.
+/// The query engine between simulated clients and servers.
 struct Simulation {
-    exchange: QueryEngine<u64, u64>,
+    engine: QueryEngine<u64, u64>,
     random: RandomSource,
     digest: Digest,
     now: Nanos,
     next_number: u64,
-    /// Attempts that are out, by the time and the order in which they end.
-    upcoming: BTreeMap<(Nanos, u64), AttemptId>,
+    /// Attempts in flight, by the time and the order in which they end.
+    scheduled_ends: BTreeMap<(Nanos, u64), AttemptId>,
     down: Option<ReplicaId>,
     counts: Counts,
 }
 
-fn exchange_settings() -> Settings {
+fn engine_settings() -> Settings {
     let keyed = Class {
         idempotency: Idempotency::IdempotencyKey { window: 500 * MS },
         ..class(Idempotency::Idempotent)
@@ -80,18 +81,18 @@
 
 impl Simulation {
     fn new(seed: u64) -> Simulation {
-        let mut exchange = QueryEngine::new(exchange_settings(), seed, 0).expect("usable settings");
-        exchange.update_endpoints(
+        let mut engine = QueryEngine::new(engine_settings(), seed, 0).expect("usable settings");
+        engine.update_endpoints(
             true,
             (0..6).map(|number| replica_entry(number, ReplicaState::Active, None)).collect(),
         );
         Simulation {
-            exchange,
+            engine,
             random: RandomSource::new(seed),
             digest: Digest::default(),
             now: 0,
             next_number: 0,
-            upcoming: BTreeMap::new(),
+            scheduled_ends: BTreeMap::new(),
             down: None,
             counts: Counts::default(),
         }
@@ -100,30 +101,30 @@
     fn run(mut self) -> u64 {
         for step in 0..STEPS {
             self.now = step * STEP;
-            let arrivals = if OVERLOAD.contains(&step) { 10 } else { self.random.below(2) };
-            (0..arrivals).for_each(|_| self.client_asks());
-            self.world_changes(step);
-            self.attempts_end();
-            self.exchange.advance(self.now);
-            while let Some(work) = self.exchange.next_action() {
-                self.carry_out(work);
+            let arrivals = if OVERLOAD_STEPS.contains(&step) { 10 } else { self.random.below(2) };
+            (0..arrivals).for_each(|_| self.submit_query());
+            self.change_environment(step);
+            self.end_attempts();
+            self.engine.advance(self.now);
+            while let Some(action) = self.engine.next_action() {
+                self.execute(action);
             }
             self.record_state();
         }
-        self.record_figures();
-        assert!(self.counts.are_enough(), "too little work of some kind: {:?}", self.counts);
+        self.record_metrics();
+        assert!(self.counts.are_sufficient(), "too few actions or results of some kind: {:?}", self.counts);
         self.digest.value()
     }
 
-    fn client_asks(&mut self) {
+    fn submit_query(&mut self) {
         let count = 1 + self.random.below(3) as u32;
         let first_shard = self.random.below(6) as u32;
-        let part = |place| PartRequest {
-            shard: (first_shard + place) % 6,
+        let part = |offset| PartRequest {
+            shard: (first_shard + offset) % 6,
             weight: 1.0 / f64::from(count),
-            work: (place == 0).then_some(20 * MS),
+            work: (offset == 0).then_some(20 * MS),
         };
-        let ask = QueryRequest {
+        let request = QueryRequest {
             class: self.random.index(3),
             tenant: None,
             key: self.random.chance(50).then_some(7),
@@ -132,65 +133,67 @@
             parts: (0..count).map(part).collect(),
             payload: Rc::new(self.now),
         };
-        match self.exchange.submit(self.now, ask) {
+        match self.engine.submit(self.now, request) {
             Ok(query) => {
                 self.digest.put_u64(query.0);
                 if self.random.chance(3) {
-                    self.exchange.client_disconnected(query);
+                    self.engine.client_disconnected(query);
                 }
             }
-            Err(refused) => {
-                self.counts.refused_at_once += 1;
-                self.digest.put_u64(refused.retry_after);
+            Err(rejected) => {
+                self.counts.rejected_on_submit += 1;
+                self.digest.put_u64(rejected.retry_after);
             }
         }
     }
 
-    /// Failures, drains, cold starts, reloads, cuts of the room and of the time.
-    fn world_changes(&mut self, step: u64) {
+    /// Failures, drains and restarts of replicas, failed watches, full endpoint lists, changes of the
+    /// in-flight limit and of free retries, and the shutdown deadline.
+    fn change_environment(&mut self, step: u64) {
         let number = self.random.below(6) as u32;
         let replica = ReplicaId(number);
         match step % 400 {
             50 => self.down = Some(replica),
             120 => self.down = None,
-            160 => self
-                .exchange
-                .update_endpoints(false, vec![replica_entry(number, ReplicaState::Draining, None)]),
-            200 => self
-                .exchange
-                .update_endpoints(false, vec![replica_entry(number, ReplicaState::Removed, None)]),
+            160 => {
+                self.engine.update_endpoints(false, vec![replica_entry(number, ReplicaState::Draining, None)])
+            }
+            200 => {
+                self.engine.update_endpoints(false, vec![replica_entry(number, ReplicaState::Removed, None)])
+            }
             240 => self
-                .exchange
+                .engine
                 .update_endpoints(false, vec![replica_entry(number, ReplicaState::Active, Some(self.now))]),
-            280 => self.exchange.replica_warmed_up(replica),
-            300 => self.exchange.watch_failed(),
-            320 => self.exchange.set_free_retries(self.random.chance(50)),
-            340 => self.exchange.limit_in_flight(60 + self.random.index(80)),
+            280 => self.engine.replica_warmed_up(replica),
+            300 => self.engine.watch_failed(),
+            320 => self.engine.set_free_retries(self.random.chance(50)),
+            340 => self.engine.limit_in_flight(60 + self.random.index(80)),
             360 => {
-                let lines = (0..6).map(|number| replica_entry(number, ReplicaState::Active, None)).collect();
-                self.exchange.update_endpoints(true, lines);
+                let entries =
+                    (0..6).map(|number| replica_entry(number, ReplicaState::Active, None)).collect();
+                self.engine.update_endpoints(true, entries);
             }
             _ => {}
         }
-        if step == END_SET_AT {
-            self.exchange.set_shutdown_deadline(self.now + END_AFTER);
+        if step == SHUTDOWN_STEP {
+            self.engine.set_shutdown_deadline(self.now + SHUTDOWN_GRACE);
         }
     }
 
-    fn attempts_end(&mut self) {
-        let later = self.upcoming.split_off(&(self.now + 1, 0));
-        for attempt in std::mem::replace(&mut self.upcoming, later).into_values() {
-            // One in ten waits for a connection until now.
+    fn end_attempts(&mut self) {
+        let later = self.scheduled_ends.split_off(&(self.now + 1, 0));
+        for attempt in std::mem::replace(&mut self.scheduled_ends, later).into_values() {
+            // One attempt in ten has waited for a connection until now.
             if self.random.chance(10) {
-                self.exchange.attempt_queued(attempt);
+                self.engine.attempt_queued(attempt);
             }
-            let begun = self.exchange.begin_attempt(self.now, attempt);
-            self.digest.put_bool(begun);
-            if !begun {
-                self.counts.not_begun += 1;
+            let started = self.engine.begin_attempt(self.now, attempt);
+            self.digest.put_bool(started);
+            if !started {
+                self.counts.not_started += 1;
                 continue;
             }
-            self.exchange.attempts_written(1);
+            self.engine.attempts_written(1);
             let outcome = match self.random.below(20) {
                 0 => Outcome::Error,
                 1 => Outcome::Rejected,
@@ -199,40 +202,36 @@
                 _ => Outcome::Ok,
             };
             let value = (outcome == Outcome::Ok).then_some(attempt.0);
-            let busy = Some(self.random.share());
-            self.exchange.attempt_ended(
-                self.now,
-                attempt,
-                AttemptOutcome { outcome, utilization: busy, value },
-            );
+            let utilization = Some(self.random.fraction());
+            self.engine.attempt_ended(self.now, attempt, AttemptOutcome { outcome, utilization, value });
         }
     }
 
-    fn carry_out(&mut self, work: EngineAction<u64, u64>) {
-        match work {
+    fn execute(&mut self, action: EngineAction<u64, u64>) {
+        match action {
             EngineAction::Call { replica, parts } => self.call(replica, &parts),
             EngineAction::CancelAttempt { replica, attempt } => {
-                self.counts.given_up += 1;
+                self.counts.cancelled += 1;
                 self.digest.put_tag(1);
                 self.digest.put_u64(replica.0.into());
                 self.digest.put_u64(attempt.0);
             }
-            EngineAction::Respond { query, outcome: answer } => {
+            EngineAction::Respond { query, outcome } => {
                 self.digest.put_tag(2);
                 self.digest.put_u64(query.0);
-                self.record_answer(&answer);
+                self.record_outcome(&outcome);
             }
             EngineAction::WatchEndpoints => {
                 self.counts.watches += 1;
                 self.digest.put_tag(3);
-                self.exchange.update_endpoints(false, vec![]);
+                self.engine.update_endpoints(false, vec![]);
             }
             EngineAction::HealthCheck { replica } => {
-                self.counts.probes += 1;
+                self.counts.health_checks += 1;
                 self.digest.put_tag(4);
                 self.digest.put_u64(replica.0.into());
                 let ok = self.down != Some(replica);
-                self.exchange.health_checked(replica, ok, 5 * MS, ok.then_some(0.3));
+                self.engine.health_checked(replica, ok, 5 * MS, ok.then_some(0.3));
             }
         }
     }
@@ -250,24 +249,24 @@
         });
         for part in parts {
             if self.down == Some(replica) {
-                let (outcome, busy, value) = (Outcome::ConnectFailed, None, None);
-                self.exchange.attempt_ended(
+                let (outcome, utilization, value) = (Outcome::ConnectFailed, None, None);
+                self.engine.attempt_ended(
                     self.now,
                     part.attempt,
-                    AttemptOutcome { outcome, utilization: busy, value },
+                    AttemptOutcome { outcome, utilization, value },
                 );
                 continue;
             }
             let slow = if self.random.chance(8) { 20 } else { 1 };
             let latency = (10 * MS + self.random.below(60) * MS) * slow;
             self.next_number += 1;
-            self.upcoming.insert((self.now + latency, self.next_number), part.attempt);
+            self.scheduled_ends.insert((self.now + latency, self.next_number), part.attempt);
         }
     }
 
-    fn record_answer(&mut self, answer: &QueryOutcome<u64>) {
-        self.digest.put_str(answer.label());
-        match answer {
+    fn record_outcome(&mut self, outcome: &QueryOutcome<u64>) {
+        self.digest.put_str(outcome.label());
+        match outcome {
             QueryOutcome::Answered(answered) => {
                 self.counts.answered += 1;
                 self.digest.put_bool(answered.complete);
@@ -277,38 +276,38 @@
                     digest.put_u64(value.value);
                 });
             }
-            QueryOutcome::Rejected { retry_after: wait } => {
-                self.counts.refused += 1;
-                self.digest.put_u64(*wait);
+            QueryOutcome::Rejected { retry_after } => {
+                self.counts.rejected += 1;
+                self.digest.put_u64(*retry_after);
             }
             QueryOutcome::Failed => self.counts.failed += 1,
         }
     }
 
     fn record_state(&mut self) {
-        while let Some(ending) = self.exchange.next_attempt_end() {
-            self.counts.endings += 1;
-            self.digest.put_u64(ending.replica.0.into());
-            self.digest.put_outcome(ending.outcome);
-            self.digest.put_u64(ending.latency);
+        while let Some(attempt_end) = self.engine.next_attempt_end() {
+            self.counts.attempt_ends += 1;
+            self.digest.put_u64(attempt_end.replica.0.into());
+            self.digest.put_outcome(attempt_end.outcome);
+            self.digest.put_u64(attempt_end.latency);
         }
-        self.digest.put_option(self.exchange.next_deadline(), Digest::put_u64);
-        self.digest.put_count(self.exchange.ejected());
-        self.digest.put_count(self.exchange.open_queries());
-        self.digest.put_count(self.exchange.attempts_in_flight());
-        self.digest.put_count(self.exchange.in_flight_at(ReplicaId(0)));
-        self.digest.put_count(self.exchange.in_flight());
+        self.digest.put_option(self.engine.next_deadline(), Digest::put_u64);
+        self.digest.put_count(self.engine.ejected());
+        self.digest.put_count(self.engine.open_queries());
+        self.digest.put_count(self.engine.attempts_in_flight());
+        self.digest.put_count(self.engine.in_flight_at(ReplicaId(0)));
+        self.digest.put_count(self.engine.in_flight());
     }
 
-    fn record_figures(&mut self) {
+    fn record_metrics(&mut self) {
         let names = ["partial", "keyed", "unsafe"].map(String::from);
-        let now = pebbleturn::metrics::Gauges { active: 1, pool_size: 2, pool_ejected: 3 };
-        let line = self.exchange.metrics().to_json_line(&names, now);
+        let gauges = pebbleturn::metrics::Gauges { active: 1, pool_size: 2, pool_ejected: 3 };
+        let line = self.engine.metrics().to_json_line(&names, gauges);
         self.digest.put_str(&line);
     }
 }
 
 #[test]
-fn the_work_of_an_exchange() {
-    assert_recorded("exchange", EXCHANGE, |seed| Simulation::new(seed).run());
+fn query_engine_actions() {
+    assert_recorded("query engine", QUERY_ENGINE, |seed| Simulation::new(seed).run());
 }
--- a/tests/recorded_decisions/main.rs
+++ b/tests/recorded_decisions/main.rs
@@ -1,10 +1,11 @@
-//! Records of what each deciding part does, so that a change of its form can be shown to change nothing else.
+//! Recorded runs of the query engine, the balancer, membership and routing, which show that a refactoring
+//! leaves their behaviour unchanged.
 //!
-//! Each test drives one part through a few thousand events in simulated time, from fixed seeds, and compares a
-//! digest of all that the part emits, in order, with the digest recorded from an earlier version. The digests do
-//! not depend on the names of types, fields or variants. They were recorded on x86-64 Linux; the parts use `exp`
-//! and `powf`, whose last bits may differ with another C library. A change of behaviour that is meant has to record
-//! new digests: the message of a failing test prints the digests obtained.
+//! Each test drives one part through a few thousand events in simulated time, from fixed seeds, and compares
+//! a digest of everything that the part emits, in order, with the digest recorded from an earlier version.
+//! The digests do not depend on the names of types, fields or variants. They were recorded on x86-64 Linux;
+//! the parts use `exp` and `powf`, whose last bits may differ with another C library. An intended change of
+//! behaviour needs new digests; a failing test prints the digests obtained.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,16 +18,19 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// Seeds that every scenario is run with.
+/// Seeds with which every scenario is run.
 const SEEDS: [u64; 3] = [1, 20, 300];
 
 /// The recorded digests of one scenario, one for each of [`SEEDS`].
 type Recorded = [u64; SEEDS.len()];
 
-/// Runs a scenario with every seed and compares the digests it gives with those recorded.
+/// Runs a scenario with every seed and compares its digests with the recorded ones.
 fn assert_recorded(scenario: &str, recorded: Recorded, run: impl Fn(u64) -> u64) {
     let obtained = SEEDS.map(run);
-    assert_eq!(obtained, recorded, "{scenario} decides otherwise; digests obtained: {obtained:#018x?}");
+    assert_eq!(
+        obtained, recorded,
+        "{scenario}: behaviour differs from the record; digests obtained: {obtained:#018x?}"
+    );
 }
 
 /// Repeatable random draws.
@@ -49,13 +53,13 @@
         self.below(bound as u64) as usize
     }
 
-    /// True in `percent` of 100 cases.
+    /// True in `percent` of 100 draws on average.
     fn chance(&mut self, percent: u64) -> bool {
         self.below(100) < percent
     }
 
-    /// A number from 0 to 1.
-    fn share(&mut self) -> f64 {
+    /// A number from 0 to 1, in steps of 0.001.
+    fn fraction(&mut self) -> f64 {
         self.below(1001) as f64 / 1000.0
     }
 }
--- a/tests/recorded_decisions/routing.rs
+++ b/tests/recorded_decisions/routing.rs
@@ -1,31 +1,33 @@
-//! The record of routing: what it offers of a ring of nodes with sets, spares and redirects, and how nodes fare.
+//! The record of routing: the nodes of a ring that it offers under sets, spares and redirects, and the health
+//! of nodes.
 //!
-//! Covered: every change told on, when `tick` is due, and the health of one node with its share of work.
+//! Covered: every emitted change, the deadline of the next `tick`, and the health of one node with its weight
+//! share.
 
 use crate::common::{MS, S};
-use crate::digest::{Digest, OUTCOMES, standing_tag};
+use crate::digest::{Digest, OUTCOMES, replica_state_tag};
 use crate::{RandomSource, Recorded, assert_recorded};
 use pebbleturn::membership::{NodeChange, PartitionLayout};
 use pebbleturn::routing::{AdminState, Eligibility, Health, Routing, RoutingSettings, Rule, Spare};
 use pebbleturn::{Nanos, Outcome, ReplicaEntry, ReplicaId, ReplicaState};
 use std::collections::HashMap;
 
-const OFFERED: Recorded = [0x3470_0234_acca_d4c0, 0xc5af_7f1e_9f04_8d04, 0x5597_23f4_e6d3_9cc6];
+const ROUTING: Recorded = [0x3470_0234_acca_d4c0, 0xc5af_7f1e_9f04_8d04, 0x5597_23f4_e6d3_9cc6];
 const HEALTH: Recorded = [0xfd29_c455_71ca_11bf, 0x47b4_6a3d_9594_922b, 0x30be_9a41_d643_ed61];
 
 const NODES: u32 = 12;
 const STEPS: u64 = 4000;
 const STEP: Nanos = 100 * MS;
 const WARM_UP: Nanos = 10 * S;
-const HOLD: Nanos = 15 * S;
-const RETRY: Nanos = 5 * S;
+const FAILBACK_DELAY: Nanos = 15 * S;
+const EJECTION_TIME: Nanos = 5 * S;
 
 fn node_id(number: u32) -> String {
     format!("node-{number}")
 }
 
-fn drawn_rule(random: &mut RandomSource) -> Rule {
-    let standings = [
+fn draw_rule(random: &mut RandomSource) -> Rule {
+    let admin_states = [
         AdminState::Active,
         AdminState::Active,
         AdminState::Active,
@@ -34,31 +36,31 @@
         AdminState::Draining,
     ];
     Rule {
-        admin_state: standings[random.index(standings.len())],
+        admin_state: admin_states[random.index(admin_states.len())],
         weight: [1.0, 1.0, 0.5, 2.0, 0.0][random.index(5)],
         set: random.below(2) as u32,
         spare: [Spare::None, Spare::None, Spare::Hot, Spare::Standby][random.index(4)],
         redirect: random.chance(30).then(|| node_id(random.below(NODES.into()) as u32)),
-        retry: RETRY,
+        retry: EJECTION_TIME,
     }
 }
 
-fn drawn_rules(random: &mut RandomSource) -> HashMap<String, Rule> {
-    (0..NODES).map(|number| (node_id(number), drawn_rule(random))).collect()
+fn draw_rules(random: &mut RandomSource) -> HashMap<String, Rule> {
+    (0..NODES).map(|number| (node_id(number), draw_rule(random))).collect()
 }
 
-fn drawn_change(random: &mut RandomSource, standing: ReplicaState) -> NodeChange {
+fn draw_change(random: &mut RandomSource, state: ReplicaState) -> NodeChange {
     let number = random.below(NODES.into()) as u32;
-    change(number, standing, random.below(3) as u16)
+    change(number, state, random.below(3) as u16)
 }
 
-fn change(number: u32, standing: ReplicaState, port: u16) -> NodeChange {
+fn change(number: u32, state: ReplicaState, port: u16) -> NodeChange {
     NodeChange {
         entry: ReplicaEntry {
             replica: ReplicaId(number),
             zone: 0,
             cell: number % 4,
-            state: standing,
+            state,
             started: None,
             weight: 1.0,
         },
@@ -68,64 +70,66 @@
     }
 }
 
-/// Half of all outcomes are good, so that nodes come back.
-fn drawn_outcome(random: &mut RandomSource) -> Outcome {
+/// At least half of all outcomes are successes, so that nodes recover.
+fn draw_outcome(random: &mut RandomSource) -> Outcome {
     if random.chance(50) { Outcome::Ok } else { OUTCOMES[random.index(OUTCOMES.len())] }
 }
 
-/// Lines told on, by their standing.
+/// The number of emitted changes, by replica state.
 #[derive(Default)]
-struct Told {
-    by_standing: [u64; 3],
+struct EmittedChanges {
+    by_state: [u64; 3],
 }
 
-impl Told {
+impl EmittedChanges {
     fn record(&mut self, routing: &mut Routing, now: Nanos, digest: &mut Digest) {
         let changes = routing.take_changes();
         digest.put_changes(changes.as_deref());
         digest.put_option(routing.next_deadline(now), Digest::put_u64);
         for change in changes.unwrap_or_default() {
-            self.by_standing[usize::from(standing_tag(change.entry.state))] += 1;
+            self.by_state[usize::from(replica_state_tag(change.entry.state))] += 1;
         }
     }
 }
 
-fn offered(seed: u64) -> u64 {
-    let (mut random, mut digest, mut told) = (RandomSource::new(seed), Digest::default(), Told::default());
+fn record_changes(seed: u64) -> u64 {
+    let (mut random, mut digest, mut emitted) =
+        (RandomSource::new(seed), Digest::default(), EmittedChanges::default());
     let layout = PartitionLayout { cells: 4, span: 2 };
-    let rules = drawn_rules(&mut random);
-    let mut routing = Routing::new(RoutingSettings { layout, rules, warm_up: WARM_UP, failback_delay: HOLD });
+    let rules = draw_rules(&mut random);
+    let mut routing =
+        Routing::new(RoutingSettings { layout, rules, warm_up: WARM_UP, failback_delay: FAILBACK_DELAY });
     routing
         .on_membership_changes((0..NODES).map(|number| change(number, ReplicaState::Active, 0)).collect(), 0);
     for step in 0..STEPS {
         let now = step * STEP;
         match random.below(100) {
             0..3 => {
-                routing.on_membership_changes(vec![drawn_change(&mut random, ReplicaState::Draining)], now)
-            }
-            3..5 => {
-                routing.on_membership_changes(vec![drawn_change(&mut random, ReplicaState::Removed)], now)
-            }
-            5..15 => {
-                routing.on_membership_changes(vec![drawn_change(&mut random, ReplicaState::Active)], now)
+                routing.on_membership_changes(vec![draw_change(&mut random, ReplicaState::Draining)], now)
             }
+            3..5 => routing.on_membership_changes(vec![draw_change(&mut random, ReplicaState::Removed)], now),
+            5..15 => routing.on_membership_changes(vec![draw_change(&mut random, ReplicaState::Active)], now),
             15 => routing.on_membership_changes(vec![], now),
-            16 => routing.set_rules(drawn_rules(&mut random), now),
+            16 => routing.set_rules(draw_rules(&mut random), now),
             17 if random.chance(20) => routing.set_rules(HashMap::new(), now),
             _ => {
                 let replica = ReplicaId(random.below(NODES.into()) as u32);
-                routing.on_attempt_end(replica, drawn_outcome(&mut random), now);
+                routing.on_attempt_end(replica, draw_outcome(&mut random), now);
             }
         }
         routing.tick(now);
-        told.record(&mut routing, now, &mut digest);
+        emitted.record(&mut routing, now, &mut digest);
     }
-    assert!(told.by_standing.iter().all(|count| *count > 50), "too few lines told: {:?}", told.by_standing);
+    assert!(
+        emitted.by_state.iter().all(|count| *count > 50),
+        "too few changes of some state: {:?}",
+        emitted.by_state
+    );
     digest.value()
 }
 
-fn put_stands(digest: &mut Digest, stands: Eligibility) -> usize {
-    match stands {
+fn put_eligibility(digest: &mut Digest, eligibility: Eligibility) -> usize {
+    match eligibility {
         Eligibility::Healthy => digest.put_tag(0),
         Eligibility::Ejected { until } => {
             digest.put_tag(1);
@@ -137,7 +141,7 @@
             digest.put_u64(since);
         }
     }
-    match stands {
+    match eligibility {
         Eligibility::Healthy => 0,
         Eligibility::Ejected { .. } => 1,
         Eligibility::Probing => 2,
@@ -145,31 +149,31 @@
     }
 }
 
-fn health(seed: u64) -> u64 {
+fn record_health(seed: u64) -> u64 {
     let (mut random, mut digest) = (RandomSource::new(seed), Digest::default());
     let mut health = Health::new(0);
     let mut seen = [0; 4];
     for step in 0..STEPS {
         let now = step * 10 * STEP;
         if random.chance(40) {
-            digest.put_bool(health.on_attempt_end(drawn_outcome(&mut random), RETRY, now));
+            digest.put_bool(health.on_attempt_end(draw_outcome(&mut random), EJECTION_TIME, now));
         }
         digest.put_bool(health.tick(WARM_UP, now));
-        seen[put_stands(&mut digest, health.eligibility())] += 1;
+        seen[put_eligibility(&mut digest, health.eligibility())] += 1;
         digest.put_option(health.next_transition(WARM_UP), Digest::put_u64);
         digest.put_f64(health.weight_share(WARM_UP, now));
-        digest.put_bool(health.healthy_for(HOLD, now));
+        digest.put_bool(health.healthy_for(FAILBACK_DELAY, now));
     }
-    assert!(seen.iter().all(|count| *count > 50), "a standing was seen too seldom: {seen:?}");
+    assert!(seen.iter().all(|count| *count > 50), "too few steps with some eligibility: {seen:?}");
     digest.value()
 }
 
 #[test]
-fn what_is_offered() {
-    assert_recorded("routing", OFFERED, offered);
+fn routing_changes() {
+    assert_recorded("routing", ROUTING, record_changes);
 }
 
 #[test]
-fn how_a_node_fares() {
-    assert_recorded("health of a node", HEALTH, health);
+fn node_health() {
+    assert_recorded("health of a node", HEALTH, record_health);
 }
