--- a/tests/recorded_replication/digest.rs
+++ b/tests/recorded_replication/digest.rs
@@ -1,8 +1,9 @@
-//! The digest of a run, and the comparison with what was recorded.
+//! The digest of a run, and the comparison with the recorded one.
 //!
-//! Nothing here depends on the names of Rust types, fields or variants: values in memory are encoded field by field, each
-//! variant under a number that the encoder chooses; values of the wire and the disk as the bytes that go there, whose
-//! order of fields and variants may not change. None of the recorded parts emits a float.
+//! Nothing here depends on the names of Rust types, fields or variants. Values in memory are encoded field by
+//! field, each variant under a number that the encoder assigns. Values of the wire and the disk enter as
+//! their serialized bytes, whose order of fields and variants may not change. None of the recorded parts
+//! emits a float.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -16,20 +17,20 @@
 /// The stream of the generator that draws the events of all scenarios.
 const RANDOM_STREAM: u64 = 0x7265_636f_7264;
 
-/// What one seed gave on the code that was recorded.
+/// The digest recorded for one seed.
 pub struct Recording {
     pub seed: u64,
     pub digest: u64,
 }
 
-/// Kinds of events of which a run must have so many each, that its record is worth something.
+/// The minimum number of events of each of these kinds in a run; a run with fewer covers too little.
 pub struct AtLeast {
     pub count: u64,
-    /// Separated by commas.
+    /// Separated by `", "`.
     pub kinds: &'static str,
 }
 
-/// Hashes what a part emits, in order, and counts it by kind.
+/// Hashes everything that a part emits, in order, and counts it by kind.
 pub struct Recorder {
     hasher: Xxh3,
     counts: BTreeMap<&'static str, u64>,
@@ -66,8 +67,8 @@
         self.put_bytes(value.as_bytes());
     }
 
-    /// A value as it goes to the wire or to the disk: postcard writes no names, and its bytes may not change.
-    pub fn put_stored(&mut self, value: &impl Serialize) {
+    /// A value in its wire and disk format: postcard writes no names, and its bytes may not change.
+    pub fn put_serialized(&mut self, value: &impl Serialize) {
         self.put_bytes(&postcard::to_allocvec(value).unwrap());
     }
 
@@ -107,7 +108,7 @@
     random.next_u32() as usize % choices
 }
 
-/// True once in so many draws.
+/// True in one of `draws` draws on average.
 pub fn one_in(random: &mut Pcg32, draws: usize) -> bool {
     pick(random, draws) == 0
 }
@@ -116,29 +117,29 @@
     Pcg32::new(seed, RANDOM_STREAM)
 }
 
-/// Plays each seed twice and compares its digest with the recorded one. A failure tells the digests obtained, and a run
-/// with too few events of a kind fails whatever its digest.
-pub fn assert_recorded(recordings: &[Recording], expected: &[AtLeast], play: impl Fn(u64) -> Recorder) {
+/// Runs each seed twice and compares its digest with the recorded one. A failure prints the digests obtained;
+/// a run with too few events of a kind fails whatever its digest.
+pub fn assert_recorded(recordings: &[Recording], expected: &[AtLeast], run: impl Fn(u64) -> Recorder) {
     let mut obtained = Vec::new();
     for Recording { seed, .. } in recordings {
-        let recorder = play(*seed);
+        let recorder = run(*seed);
         for AtLeast { count, kinds } in expected {
-            let few = |kind: &&str| recorder.counts.get(kind).copied().unwrap_or(0) < *count;
-            let missing: Vec<&str> = kinds.split(", ").filter(few).collect();
+            let is_below = |kind: &&str| recorder.counts.get(kind).copied().unwrap_or(0) < *count;
+            let missing: Vec<&str> = kinds.split(", ").filter(is_below).collect();
             assert!(
                 missing.is_empty(),
                 "seed {seed}: fewer than {count} of {missing:?}: {:?}",
                 recorder.counts
             );
         }
-        assert_eq!(recorder.digest(), play(*seed).digest(), "seed {seed}: two runs in one process differ");
+        assert_eq!(recorder.digest(), run(*seed).digest(), "seed {seed}: two runs in one process differ");
         obtained.push(recorder.digest());
     }
     let differs = recordings.iter().zip(&obtained).any(|(recording, digest)| recording.digest != *digest);
-    let told: Vec<String> = recordings
+    let digests: Vec<String> = recordings
         .iter()
         .zip(&obtained)
         .map(|(recording, digest)| format!("seed {}: {digest:#018x}", recording.seed))
         .collect();
-    assert!(!differs, "behaviour differs from what was recorded; digests obtained: {}", told.join(", "));
+    assert!(!differs, "behaviour differs from what was recorded; digests obtained: {}", digests.join(", "));
 }
--- a/tests/recorded_replication/gossip.rs
+++ b/tests/recorded_replication/gossip.rs
@@ -1,14 +1,14 @@
-//! Members of a cluster over a simulated network with losses, delays, duplicates, damaged bytes, cuts, stops, restarts
-//! and reloads of the peer list.
+//! Members of a cluster over a simulated network with losses, delays, duplicates, damaged bytes, cuts, stops,
+//! restarts and reloads of the peer list.
 //!
-//! Recorded: every output and everything told, in order, what was read from each datagram, and the state of a member
-//! now and then. Times come in steps of whole milliseconds, and due times are recorded in milliseconds: the span of
-//! a suspicion is worked out in floats, whose last bit may differ between platforms.
+//! Recorded: every output and notification, in order, each decoded datagram, and the state of a member at
+//! random times. Time advances in whole milliseconds, and deadlines are recorded in milliseconds: the
+//! suspicion time-out is computed in floats, whose last bit may differ between platforms.
 
 use super::digest::{
     AtLeast, MILLISECOND, Recorder, Recording, SECOND, assert_recorded, one_in, pick, random,
 };
-use super::replicated_state::put_effect;
+use super::replicated_state::put_derived_state;
 use pebbleturn::gossip::codec::{self, Datagram, FrameError, Sender, StreamFrame};
 use pebbleturn::gossip::swim::{self, Probe};
 use pebbleturn::gossip::{DropReason, GossipNode, GossipSettings, Notification, Output, SyncStatus};
@@ -20,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Recorded before names and structure were changed.
+/// Digests of the code before it was refactored.
 const RECORDINGS: [Recording; 3] = [
     Recording { seed: 1, digest: 0x85b0_770e_3216_3156 },
     Recording { seed: 2, digest: 0x80db_c58e_ae9c_c7a3 },
@@ -28,18 +28,18 @@
 ];
 
 const MEMBERS: usize = 5;
-/// Simulated time of one run, and its steps.
-const RUN: u64 = 300 * SECOND;
+/// Simulated duration of a run, and of one step.
+const RUN_TIME: u64 = 300 * SECOND;
 const TICK: u64 = 10 * MILLISECOND;
-/// One of so many ticks brings a fault or a change by hand.
+/// On average, one in this many ticks brings a fault or a change by an operator.
 const CHANGE_EVERY: usize = 10;
-/// Numbers of connections that others opened begin here.
-const ACCEPTED_FROM: u64 = 1 << 32;
-/// Datagrams at once that are more than a member takes from one peer.
-const FLOOD: usize = 220;
+/// Ids of accepted connections start here.
+const FIRST_ACCEPTED_STREAM: u64 = 1 << 32;
+/// Size of a burst of datagrams: more than a member accepts from one peer.
+const FLOOD_DATAGRAMS: usize = 220;
 const STREAM_DELAY: u64 = 5 * MILLISECOND;
 
-/// One end of a connection: a member and its number for it.
+/// One end of a connection: a member and its id of the connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct End {
     member: usize,
@@ -55,8 +55,8 @@
 
 struct Node {
     member: Option<GossipNode>,
-    kept: BTreeMap<FactKey, Fact>,
-    listed: Vec<usize>,
+    persisted: BTreeMap<FactKey, Fact>,
+    listed_peers: Vec<usize>,
     stopped_until: u64,
 }
 
@@ -67,8 +67,8 @@
     nodes: Vec<Node>,
     deliveries: BTreeMap<(u64, u64), Delivery>,
     next_delivery: u64,
-    next_accepted: u64,
-    /// The other end of each end.
+    next_accepted_stream: u64,
+    /// The opposite end of each end of a connection.
     connections: BTreeMap<End, End>,
     cuts: BTreeSet<(usize, usize)>,
 }
@@ -85,8 +85,8 @@
     fn new(seed: u64) -> Cluster {
         let node = |n: usize| Node {
             member: None,
-            kept: BTreeMap::new(),
-            listed: (0..MEMBERS).filter(|peer| *peer != n).collect(),
+            persisted: BTreeMap::new(),
+            listed_peers: (0..MEMBERS).filter(|peer| *peer != n).collect(),
             stopped_until: 0,
         };
         Cluster {
@@ -96,19 +96,19 @@
             nodes: (0..MEMBERS).map(node).collect(),
             deliveries: BTreeMap::new(),
             next_delivery: 0,
-            next_accepted: ACCEPTED_FROM,
+            next_accepted_stream: FIRST_ACCEPTED_STREAM,
             connections: BTreeMap::new(),
             cuts: BTreeSet::new(),
         }
     }
 
-    fn play(mut self) -> Recorder {
+    fn run(mut self) -> Recorder {
         (0..MEMBERS).for_each(|n| self.start(n));
-        let end = self.now + RUN;
+        let end = self.now + RUN_TIME;
         while self.now < end {
             self.now += TICK;
             if one_in(&mut self.random, CHANGE_EVERY) {
-                self.change();
+                self.inject_change();
             }
             self.deliver();
             (0..MEMBERS).for_each(|n| self.tick(n));
@@ -120,7 +120,7 @@
     // ---- members ----
 
     fn settings(&mut self, n: usize) -> GossipSettings {
-        // The last one is of an earlier program.
+        // The last member runs an earlier version of the program.
         let latest_version = if n + 1 == MEMBERS { codec::FIRST_VERSION } else { codec::LATEST_VERSION };
         GossipSettings {
             cluster: "cluster".into(),
@@ -138,14 +138,14 @@
     }
 
     fn peer_list(&self, n: usize) -> Vec<(String, SocketAddr)> {
-        self.nodes[n].listed.iter().map(|peer| (name(*peer), address(*peer))).collect()
+        self.nodes[n].listed_peers.iter().map(|peer| (name(*peer), address(*peer))).collect()
     }
 
     fn start(&mut self, n: usize) {
         let settings = self.settings(n);
         let origin = Origin(settings.seed << 8 | n as u64);
-        let kept: Vec<Fact> = self.nodes[n].kept.values().cloned().collect();
-        let member = GossipNode::new(settings, origin, &kept, self.now / MILLISECOND, self.now);
+        let persisted: Vec<Fact> = self.nodes[n].persisted.values().cloned().collect();
+        let member = GossipNode::new(settings, origin, &persisted, self.now / MILLISECOND, self.now);
         self.nodes[n].member = Some(member);
         self.recorder.count("start");
     }
@@ -156,76 +156,76 @@
         ends.into_iter().for_each(|end| self.close(end));
     }
 
-    fn runs(&self, n: usize) -> bool {
+    fn is_running(&self, n: usize) -> bool {
         self.nodes[n].member.is_some() && self.nodes[n].stopped_until <= self.now
     }
 
-    /// Calls a member that runs, and carries out what it wants.
+    /// Calls a member unless it is killed, records what it emits and executes its outputs.
     fn with_member(&mut self, n: usize, call: impl FnOnce(&mut GossipNode, u64)) {
         let Some(member) = self.nodes[n].member.as_mut() else { return };
         call(member, self.now);
-        let told: Vec<Notification> = std::iter::from_fn(|| member.take_notification()).collect();
-        let heard_of: Vec<FactKey> = std::iter::from_fn(|| member.take_updated_server()).collect();
+        let notifications: Vec<Notification> = std::iter::from_fn(|| member.take_notification()).collect();
+        let updated_servers: Vec<FactKey> = std::iter::from_fn(|| member.take_updated_server()).collect();
         let outputs: Vec<Output> = std::iter::from_fn(|| member.take_output()).collect();
-        if told.is_empty() && heard_of.is_empty() && outputs.is_empty() {
+        if notifications.is_empty() && updated_servers.is_empty() && outputs.is_empty() {
             return;
         }
         self.recorder.put_u64(self.now);
         self.recorder.put_usize(n);
-        self.recorder.put_sequence(&told, put_told);
-        self.recorder.put_stored(&heard_of);
+        self.recorder.put_sequence(&notifications, put_notification);
+        self.recorder.put_serialized(&updated_servers);
         self.recorder.put_sequence(&outputs, put_output);
-        outputs.into_iter().for_each(|output| self.carry_out(n, output));
+        outputs.into_iter().for_each(|output| self.execute(n, output));
     }
 
     fn tick(&mut self, n: usize) {
         let now = self.now;
-        if self.runs(n)
+        if self.is_running(n)
             && self.nodes[n].member.as_ref().is_some_and(|member| member.next_deadline(now) <= now)
         {
             self.with_member(n, |member, now| member.tick(now));
         }
     }
 
-    // ---- what is done to them ----
+    // ---- faults and changes ----
 
-    fn change(&mut self) {
+    fn inject_change(&mut self) {
         let n = pick(&mut self.random, MEMBERS);
         match pick(&mut self.random, 32) {
-            0..=5 => self.say(n),
-            6..=9 => self.note(n),
+            0..=5 => self.issue_command(n),
+            6..=9 => self.record_process_event(n),
             10..=12 => self.cut(n),
             13..=16 => self.cuts.clear(),
             17 => self.kill(n),
             18..=20 if self.nodes[n].member.is_none() => self.start(n),
             21 => self.nodes[n].stopped_until = self.now + pick(&mut self.random, 8) as u64 * SECOND,
             22 => self.reload(n),
-            23 => self.renew(n),
-            24 | 25 => self.send_strange(n),
-            26 => self.remove(n),
-            27 | 28 => self.keep(n),
-            29 => self.speak_out_of_turn(n),
+            23 => self.replace_origin(n),
+            24 | 25 => self.send_invalid_datagrams(n),
+            26 => self.change_removal(n),
+            27 | 28 => self.persist_facts(n),
+            29 => self.send_unexpected_frame(n),
             _ => self.observe(n),
         }
     }
 
-    fn say_word(&mut self, n: usize, key: &FactKey, value: CommandValue) {
-        let lasts = one_in(&mut self.random, 4).then_some(self.now + 10 * SECOND);
-        let word = OperatorCommand {
+    fn record_command(&mut self, n: usize, key: &FactKey, value: CommandValue) {
+        let expires_at = one_in(&mut self.random, 4).then_some(self.now + 10 * SECOND);
+        let command = OperatorCommand {
             value,
             author: "staff".into(),
             reason: "reason".into(),
             broker: name(n),
             issued_at: self.now,
-            expires_at: lasts,
+            expires_at,
         };
         self.with_member(n, |member, now| {
-            let _ = member.record(key, word, now);
+            let _ = member.record(key, command, now);
         });
         self.recorder.count("said");
     }
 
-    fn say(&mut self, n: usize) {
+    fn issue_command(&mut self, n: usize) {
         let value = match pick(&mut self.random, 5) {
             0 | 1 => CommandValue::Clear,
             2 | 3 => CommandValue::Set,
@@ -236,17 +236,17 @@
             1 => FactKey::MaintenanceOrder("order".into()),
             _ => FactKey::Server(format!("server-{}", pick(&mut self.random, 30))),
         };
-        self.say_word(n, &key, value);
+        self.record_command(n, &key, value);
     }
 
-    /// Removes the last member, or takes it in again.
-    fn remove(&mut self, n: usize) {
+    /// Issues a command that removes the last member from the cluster, or one that readmits it.
+    fn change_removal(&mut self, n: usize) {
         let key = FactKey::Removed(name(MEMBERS - 1));
         let value = if one_in(&mut self.random, 3) { CommandValue::Set } else { CommandValue::Clear };
-        self.say_word(n, &key, value);
+        self.record_command(n, &key, value);
     }
 
-    fn note(&mut self, n: usize) {
+    fn record_process_event(&mut self, n: usize) {
         let id = format!("server-{}", pick(&mut self.random, 30));
         let key = if one_in(&mut self.random, 2) { FactKey::Drain(id) } else { FactKey::Start(id) };
         let latest = ProcessStart { started: self.now, list_version: 1 };
@@ -266,40 +266,41 @@
         self.recorder.count("cut");
     }
 
-    /// The peer list of a member is read again: one peer is gone from it, or all are there.
+    /// Reloads the peer list of a member: one peer is missing from it, or all are listed.
     fn reload(&mut self, n: usize) {
         let without = pick(&mut self.random, 2 * MEMBERS);
-        self.nodes[n].listed = (0..MEMBERS).filter(|peer| *peer != n && *peer != without).collect();
+        self.nodes[n].listed_peers = (0..MEMBERS).filter(|peer| *peer != n && *peer != without).collect();
         let list = self.peer_list(n);
         self.with_member(n, |member, now| member.set_peers(&list, now));
         self.recorder.count("reload");
     }
 
-    fn renew(&mut self, n: usize) {
+    fn replace_origin(&mut self, n: usize) {
         let origin = Origin(1 << 60 | self.now);
         self.with_member(n, |member, _| member.replace_origin(origin));
     }
 
-    /// Datagrams of senders that are not listened to, one with a fact that is refused, and now and then a flood.
-    fn send_strange(&mut self, to: usize) {
+    /// Sends datagrams whose senders are ignored, one with an invalid fact, and sometimes a flood.
+    fn send_invalid_datagrams(&mut self, to: usize) {
         let from = (to + 1) % MEMBERS;
-        let strange = [
+        let datagrams = [
             (address(99), "cluster", name(from)),
             (address(from), "other", name(from)),
             (address(from), "cluster", name(to)),
             (address(from), "cluster", "stranger".into()),
         ];
-        for (from, cluster, name) in strange {
-            self.push_news(from, to, cluster, name, Vec::new());
+        for (from, cluster, name) in datagrams {
+            self.push_datagram(from, to, cluster, name, Vec::new());
         }
-        let unsound = (FactKey::Server(String::new()), FactValue::Latest(ProcessStart::default()));
-        self.push_news(address(from), to, "cluster", name(from), vec![unsound]);
+        let invalid_fact = (FactKey::Server(String::new()), FactValue::Latest(ProcessStart::default()));
+        self.push_datagram(address(from), to, "cluster", name(from), vec![invalid_fact]);
         if one_in(&mut self.random, 4) {
-            (0..FLOOD).for_each(|_| self.push_news(address(from), to, "cluster", name(from), Vec::new()));
+            (0..FLOOD_DATAGRAMS)
+                .for_each(|_| self.push_datagram(address(from), to, "cluster", name(from), Vec::new()));
         }
     }
 
-    fn push_news(&mut self, from: SocketAddr, to: usize, cluster: &str, name: String, facts: Vec<Fact>) {
+    fn push_datagram(&mut self, from: SocketAddr, to: usize, cluster: &str, name: String, facts: Vec<Fact>) {
         let cluster_id = codec::cluster_id(cluster);
         let sender = Sender {
             cluster_id,
@@ -314,27 +315,27 @@
         self.push(TICK, Delivery::Datagram { from, to, bytes });
     }
 
-    /// A connection whose first line is not the one that must come first.
-    fn speak_out_of_turn(&mut self, to: usize) {
-        self.next_accepted += 1;
-        let (stream, from) = (self.next_accepted, address((to + 1) % MEMBERS));
-        let line = StreamFrame::Sync(SyncMessage::PushAccepted).encode();
+    /// Opens a connection whose first frame is not the one that the protocol requires first.
+    fn send_unexpected_frame(&mut self, to: usize) {
+        self.next_accepted_stream += 1;
+        let (stream, from) = (self.next_accepted_stream, address((to + 1) % MEMBERS));
+        let frame = StreamFrame::Sync(SyncMessage::PushAccepted).encode();
         self.with_member(to, |member, now| {
             member.on_accepted(stream, from, now);
-            member.on_frame(stream, from, &line[4..], now);
+            member.on_frame(stream, from, &frame[4..], now);
         });
     }
 
-    /// What a member knows comes to its disk.
-    fn keep(&mut self, n: usize) {
+    /// Writes changed facts of a member to its disk; one write in four fails.
+    fn persist_facts(&mut self, n: usize) {
         let Some(member) = self.nodes[n].member.as_mut() else { return };
         let mut facts = member.take_unpersisted(20);
         if one_in(&mut self.random, 4) {
             member.persist_failed(facts.drain(..).map(|(key, _)| key));
         }
         self.recorder.put_bool(member.is_persisted());
-        self.recorder.put_stored(&facts);
-        self.nodes[n].kept.extend(facts.into_iter().map(|fact| (fact.0.clone(), fact)));
+        self.recorder.put_serialized(&facts);
+        self.nodes[n].persisted.extend(facts.into_iter().map(|fact| (fact.0.clone(), fact)));
         self.recorder.count("kept");
     }
 
@@ -345,7 +346,7 @@
         self.deliveries.insert((self.now + delay, self.next_delivery), delivery);
     }
 
-    fn carry_out(&mut self, n: usize, output: Output) {
+    fn execute(&mut self, n: usize, output: Output) {
         match output {
             Output::Datagram { to, bytes } => self.send_datagram(n, to, bytes),
             Output::Dial { stream, to } => self.dial(End { member: n, stream }, to),
@@ -354,12 +355,12 @@
         }
     }
 
-    fn number(at: SocketAddr) -> Option<usize> {
-        (0..MEMBERS).find(|n| address(*n) == at)
+    fn member_at(socket: SocketAddr) -> Option<usize> {
+        (0..MEMBERS).find(|n| address(*n) == socket)
     }
 
     fn send_datagram(&mut self, n: usize, to: SocketAddr, mut bytes: Vec<u8>) {
-        let Some(to) = Cluster::number(to) else { return };
+        let Some(to) = Cluster::member_at(to) else { return };
         if self.cuts.contains(&(n, to)) || one_in(&mut self.random, 20) {
             return self.recorder.count("lost");
         }
@@ -374,24 +375,24 @@
             let at = pick(&mut self.random, bytes.len());
             bytes[at] ^= 1;
         }
-        let slow = if one_in(&mut self.random, 20) { 500 } else { 20 };
-        let delay = pick(&mut self.random, slow) as u64 * MILLISECOND;
+        let max_delay_ms = if one_in(&mut self.random, 20) { 500 } else { 20 };
+        let delay = pick(&mut self.random, max_delay_ms) as u64 * MILLISECOND;
         self.push(delay, Delivery::Datagram { from, to, bytes });
     }
 
     fn dial(&mut self, end: End, to: SocketAddr) {
-        let reached =
-            Cluster::number(to).filter(|to| self.runs(*to) && !self.cuts.contains(&(end.member, *to)));
-        let Some(to) = reached else { return self.push(STREAM_DELAY, Delivery::Closed(end)) };
-        self.next_accepted += 1;
-        let other = End { member: to, stream: self.next_accepted };
+        let reachable = Cluster::member_at(to)
+            .filter(|to| self.is_running(*to) && !self.cuts.contains(&(end.member, *to)));
+        let Some(to) = reachable else { return self.push(STREAM_DELAY, Delivery::Closed(end)) };
+        self.next_accepted_stream += 1;
+        let other = End { member: to, stream: self.next_accepted_stream };
         self.connections.insert(end, other);
         self.connections.insert(other, end);
         self.with_member(to, |member, now| member.on_accepted(other.stream, address(end.member), now));
         self.push(STREAM_DELAY, Delivery::Connected(end));
     }
 
-    /// Frames come in order; behind a cut they never come, and the silence ends the connection.
+    /// Frames are delivered in order; across a cut they are lost, and the connection ends by its time-out.
     fn send_frame(&mut self, end: End, bytes: Vec<u8>) {
         let Some(&to) = self.connections.get(&end) else { return };
         if self.cuts.contains(&(end.member, to.member)) {
@@ -455,20 +456,20 @@
             SyncStatus::Isolated => 2,
         });
         let due = member.next_deadline(now) / MILLISECOND;
-        recorder.put_stored(&(
+        recorder.put_serialized(&(
             member.incarnation(),
             member.health_score(),
             due,
             member.has_duplicate_origin(),
         ));
         recorder.put_bytes(&member.store().to_bytes());
-        put_effect(recorder, member.derived_state());
-        recorder.put_sequence(member.drop_counts(), |recorder, (why, times)| {
-            put_dropped(recorder, why);
-            recorder.put_u64(times);
+        put_derived_state(recorder, member.derived_state());
+        recorder.put_sequence(member.drop_counts(), |recorder, (reason, drops)| {
+            put_drop_reason(recorder, reason);
+            recorder.put_u64(drops);
         });
         recorder.put_sequence(member.peers(now), |recorder, peer| {
-            recorder.put_stored(&(
+            recorder.put_serialized(&(
                 peer.name,
                 peer.address,
                 peer.status,
@@ -483,25 +484,25 @@
     match output {
         Output::Datagram { to, bytes } => {
             recorder.count("datagram");
-            recorder.put_stored(&(0, to, bytes));
+            recorder.put_serialized(&(0, to, bytes));
         }
         Output::Dial { stream, to } => {
             recorder.count("dial");
-            recorder.put_stored(&(1, stream, to));
+            recorder.put_serialized(&(1, stream, to));
         }
         Output::Send { stream, bytes } => {
             recorder.count("send");
-            recorder.put_stored(&(2, stream, bytes));
+            recorder.put_serialized(&(2, stream, bytes));
         }
         Output::Close { stream } => {
             recorder.count("close");
-            recorder.put_stored(&(3, stream));
+            recorder.put_serialized(&(3, stream));
         }
     }
 }
 
-fn put_told(recorder: &mut Recorder, told: &Notification) {
-    let (tag, kind) = match told {
+fn put_notification(recorder: &mut Recorder, notification: &Notification) {
+    let (tag, kind) = match notification {
         Notification::PeerUp(_) => (0, "up"),
         Notification::PeerSuspected(_) => (1, "suspected"),
         Notification::PeerDown(_) => (2, "down"),
@@ -517,7 +518,7 @@
     };
     recorder.count(kind);
     recorder.put_tag(tag);
-    match told {
+    match notification {
         Notification::PeerUp(name)
         | Notification::PeerSuspected(name)
         | Notification::PeerDown(name)
@@ -525,11 +526,11 @@
             recorder.put_str(name);
         }
         Notification::Stalled(time) => recorder.put_u64(*time / MILLISECOND),
-        Notification::Dropped(why, from) => {
-            put_dropped(recorder, *why);
+        Notification::Dropped(reason, from) => {
+            put_drop_reason(recorder, *reason);
             recorder.put_str(&from.to_string());
         }
-        Notification::FactChanged(key) => recorder.put_stored(key),
+        Notification::FactChanged(key) => recorder.put_serialized(key),
         Notification::FactsReceived(number) => recorder.put_usize(*number),
         Notification::Refuted
         | Notification::Isolated
@@ -538,8 +539,8 @@
     }
 }
 
-fn put_dropped(recorder: &mut Recorder, why: DropReason) {
-    let (tag, kind) = match why {
+fn put_drop_reason(recorder: &mut Recorder, reason: DropReason) {
+    let (tag, kind) = match reason {
         DropReason::UnlistedAddress => (0, "unlisted sender"),
         DropReason::MalformedFrame => (1, "unreadable frame"),
         DropReason::UnsupportedVersion => (2, "later version"),
@@ -555,12 +556,12 @@
     recorder.put_tag(tag);
 }
 
-fn put_datagram(recorder: &mut Recorder, read: &Result<Datagram, FrameError>) {
-    let datagram = match read {
+fn put_datagram(recorder: &mut Recorder, decoded: &Result<Datagram, FrameError>) {
+    let datagram = match decoded {
         Ok(datagram) => datagram,
-        Err(bad) => {
+        Err(error) => {
             recorder.count("bad frame");
-            return put_bad_frame(recorder, bad);
+            return put_frame_error(recorder, error);
         }
     };
     match datagram.probe {
@@ -569,18 +570,18 @@
         Probe::Gossip | Probe::Ping { .. } | Probe::Ack { .. } => {}
     }
     let Datagram { sender, probe, status_updates, facts, root } = datagram;
-    recorder.put_stored(&(sender, probe, status_updates, facts, root));
+    recorder.put_serialized(&(sender, probe, status_updates, facts, root));
 }
 
-fn put_bad_frame(recorder: &mut Recorder, bad: &FrameError) {
-    let (tag, value) = match bad {
+fn put_frame_error(recorder: &mut Recorder, error: &FrameError) {
+    let (tag, value) = match error {
         FrameError::InvalidLength(length) => (1, *length),
         FrameError::UnknownFormat => (2, 0),
         FrameError::UnsupportedVersion(version) => (3, usize::from(*version)),
         FrameError::ChecksumMismatch => (4, 0),
         FrameError::MalformedBody => (5, 0),
     };
-    recorder.put_stored(&(tag, value));
+    recorder.put_serialized(&(tag, value));
 }
 
 #[test]
@@ -597,5 +598,5 @@
         AtLeast { count: 1, kinds: "flood" },
         AtLeast { count: 1, kinds: "removed, came" },
     ];
-    assert_recorded(&RECORDINGS, &expected, |seed| Cluster::new(seed).play());
+    assert_recorded(&RECORDINGS, &expected, |seed| Cluster::new(seed).run());
 }
--- a/tests/recorded_replication/hot_restart.rs
+++ b/tests/recorded_replication/hot_restart.rs
@@ -1,8 +1,8 @@
-//! Processes at one address that take over from each other: shares of the limits, words of staff, and how clients are
-//! sent away.
+//! Processes at one address that take over from each other: their shares of the limits, operators' overrides,
+//! and the drain of their clients.
 //!
-//! Recorded: each state that is left (its bytes), each view of the others, every lease, share and due time, and every
-//! step of leaving.
+//! Recorded: each published state (its bytes), each view of the peers, every lease, share and deadline, and
+//! every step of a drain.
 
 use super::digest::{
     AtLeast, MILLISECOND, Recorder, Recording, SECOND, assert_recorded, one_in, pick, random,
@@ -14,7 +14,7 @@
 use pebbleturn::server::drain::{DrainPhase, DrainState};
 use rand_pcg::Pcg32;
 
-/// Recorded before names and structure were changed.
+/// Digests of the code before it was refactored.
 const RECORDINGS: [Recording; 3] = [
     Recording { seed: 1, digest: 0x2a56_1449_519d_cfd3 },
     Recording { seed: 2, digest: 0xe427_968e_a6d7_0bf0 },
@@ -24,30 +24,34 @@
 const EVENTS: usize = 6_000;
 const LIMITS: SharedLimits =
     SharedLimits { descriptors: 1_200, max_in_flight: 400, retry_budget_window: 10 * SECOND };
-const LONGEST_WAIT: u64 = 4 * SECOND;
-/// Processes that run together at most.
-const TOGETHER: usize = 3;
-/// Processes that are still seen, dead ones among them.
-const SEEN: usize = 5;
-/// More words than are kept.
-const MANY_WORDS: u64 = 4_200;
+const LONGEST_DEADLINE: u64 = 4 * SECOND;
+/// Maximum number of processes that run at the same time.
+const MAX_RUNNING: usize = 3;
+/// Maximum number of processes that are visible, including dead ones.
+const MAX_VISIBLE: usize = 5;
+/// A number of overrides above the limit.
+const MANY_OVERRIDES: u64 = 4_200;
 
 struct Process {
     serial: u64,
     alive: bool,
-    succession: Coordination,
-    words: Overrides,
+    coordination: Coordination,
+    overrides: Overrides,
     stage: ProcessStage,
-    leave: DrainState,
+    drain: DrainState,
     descriptors: usize,
-    held: usize,
-    /// The state that it left last, as bytes.
-    left: Vec<u8>,
+    in_flight: usize,
+    /// The state that it last published, as bytes.
+    published_state: Vec<u8>,
 }
 
 impl Process {
     fn as_peer(&self) -> PeerProcess {
-        PeerProcess { serial: self.serial, alive: self.alive, state: ProcessState::decode(&self.left).ok() }
+        PeerProcess {
+            serial: self.serial,
+            alive: self.alive,
+            state: ProcessState::decode(&self.published_state).ok(),
+        }
     }
 }
 
@@ -68,58 +72,58 @@
     fn event(&mut self) {
         self.now += pick(&mut self.random, 200) as u64 * MILLISECOND;
         let running: Vec<usize> = (0..self.processes.len()).filter(|n| self.processes[*n].alive).collect();
-        if running.is_empty() || (running.len() < TOGETHER && one_in(&mut self.random, 40)) {
+        if running.is_empty() || (running.len() < MAX_RUNNING && one_in(&mut self.random, 40)) {
             return self.start();
         }
         let at = running[pick(&mut self.random, running.len())];
         match pick(&mut self.random, 40) {
             0 => self.crash(at),
-            1 => self.end(at),
+            1 => self.begin_shutdown(at),
             2 => self.pause(at),
             3 => self.resume(at),
-            4..=6 => self.word(at),
+            4..=6 => self.change_override(at),
             7..=9 => self.serve(at),
-            10..=16 => self.demand(at),
-            17..=26 => self.leave_state(at),
-            _ => self.look(at),
+            10..=16 => self.change_usage(at),
+            17..=26 => self.publish_state(at),
+            _ => self.observe_peers(at),
         }
-        self.observe(at);
+        self.record_process(at);
     }
 
-    fn others(&self, serial: u64) -> Vec<PeerProcess> {
-        let others = self.processes.iter().filter(|process| process.serial != serial);
-        others.map(Process::as_peer).collect()
+    fn peers(&self, serial: u64) -> Vec<PeerProcess> {
+        let peers = self.processes.iter().filter(|process| process.serial != serial);
+        peers.map(Process::as_peer).collect()
     }
 
     fn start(&mut self) {
         let serial = self.next_serial;
         self.next_serial += 1;
-        let found = self.others(serial);
-        let mut words = Overrides::default();
-        for peer in &found {
-            put_words(&mut self.recorder, &peer.effective_overrides());
-            words.merge(&peer.effective_overrides());
+        let peers = self.peers(serial);
+        let mut overrides = Overrides::default();
+        for peer in &peers {
+            put_overrides(&mut self.recorder, &peer.effective_overrides());
+            overrides.merge(&peer.effective_overrides());
         }
-        let mut leave = DrainState::new(LONGEST_WAIT);
+        let mut drain = DrainState::new(LONGEST_DEADLINE);
         if one_in(&mut self.random, 2) {
-            leave.share_address();
+            drain.share_address();
         }
-        let succession = Coordination::new(serial, LIMITS, found, self.now);
+        let coordination = Coordination::new(serial, LIMITS, peers, self.now);
         self.recorder.count("start");
-        self.recorder.put_usize(succession.descriptor_lease());
+        self.recorder.put_usize(coordination.descriptor_lease());
         self.processes.push(Process {
             serial,
             alive: true,
-            succession,
-            words,
+            coordination,
+            overrides,
             stage: ProcessStage::Starting,
-            leave,
+            drain,
             descriptors: 0,
-            held: 0,
-            left: Vec::new(),
+            in_flight: 0,
+            published_state: Vec::new(),
         });
-        let gone = self.processes.len().saturating_sub(SEEN);
-        self.processes.drain(..gone);
+        let excess = self.processes.len().saturating_sub(MAX_VISIBLE);
+        self.processes.drain(..excess);
     }
 
     fn crash(&mut self, at: usize) {
@@ -127,32 +131,32 @@
         self.recorder.count("crash");
     }
 
-    fn end(&mut self, at: usize) {
-        self.processes[at].leave.begin_shutdown(self.now);
+    fn begin_shutdown(&mut self, at: usize) {
+        self.processes[at].drain.begin_shutdown(self.now);
         self.processes[at].stage = ProcessStage::Draining;
         self.recorder.count("end");
     }
 
     fn pause(&mut self, at: usize) {
-        self.processes[at].leave.pause(self.now);
-        self.processes[at].words.set_paused(true, self.now);
+        self.processes[at].drain.pause(self.now);
+        self.processes[at].overrides.set_paused(true, self.now);
         self.recorder.count("pause");
     }
 
     fn resume(&mut self, at: usize) {
-        self.processes[at].leave.resume();
-        self.processes[at].words.set_paused(false, self.now);
+        self.processes[at].drain.resume();
+        self.processes[at].overrides.set_paused(false, self.now);
         self.recorder.count("resume");
     }
 
-    fn word(&mut self, at: usize) {
+    fn change_override(&mut self, at: usize) {
         let server = format!("server-{}", pick(&mut self.random, 12));
-        let out = one_in(&mut self.random, 2);
-        // The clock may have gone back between two processes.
+        let suspended = one_in(&mut self.random, 2);
+        // The clock may go back between two processes.
         let clock = self.now - pick(&mut self.random, 3) as u64 * SECOND;
-        self.processes[at].words.set_server_suspended(&server, out, clock);
+        self.processes[at].overrides.set_server_suspended(&server, suspended, clock);
         self.recorder.count("word");
-        put_words(&mut self.recorder, &self.processes[at].words);
+        put_overrides(&mut self.recorder, &self.processes[at].overrides);
     }
 
     fn serve(&mut self, at: usize) {
@@ -162,88 +166,88 @@
         }
     }
 
-    fn demand(&mut self, at: usize) {
-        let share = self.processes[at].succession.quota_share(self.now);
+    fn change_usage(&mut self, at: usize) {
+        let share = self.processes[at].coordination.quota_share(self.now);
         put_share(&mut self.recorder, share);
         self.processes[at].descriptors = pick(&mut self.random, share.descriptors + 1);
-        self.processes[at].held = pick(&mut self.random, share.max_in_flight + 1);
+        self.processes[at].in_flight = pick(&mut self.random, share.max_in_flight + 1);
     }
 
-    fn leave_state(&mut self, at: usize) {
+    fn publish_state(&mut self, at: usize) {
         let process = &mut self.processes[at];
-        let lease = process.succession.descriptor_lease();
+        let lease = process.coordination.descriptor_lease();
         let state = ProcessState {
             written_at: self.now,
             stage: process.stage,
-            overrides: process.words.clone(),
+            overrides: process.overrides.clone(),
             descriptor_lease: lease,
-            in_flight: process.held,
-            open_query_ids: (0..process.held.min(3)).map(|n| format!("query-{n}")).collect(),
+            in_flight: process.in_flight,
+            open_query_ids: (0..process.in_flight.min(3)).map(|n| format!("query-{n}")).collect(),
         };
-        process.left = state.encode().unwrap();
+        process.published_state = state.encode().unwrap();
         self.recorder.count("state");
-        self.recorder.put_bytes(&process.left);
-        process.succession.on_lease_published(lease);
+        self.recorder.put_bytes(&process.published_state);
+        process.coordination.on_lease_published(lease);
         if one_in(&mut self.random, 30) {
-            process.left.pop();
+            process.published_state.pop();
             self.recorder.count("unreadable state");
         }
     }
 
-    fn look(&mut self, at: usize) {
-        let others = self.others(self.processes[at].serial);
+    fn observe_peers(&mut self, at: usize) {
+        let peers = self.peers(self.processes[at].serial);
         let process = &mut self.processes[at];
-        for peer in &others {
-            self.recorder.put_bool(process.words.merge(&peer.effective_overrides()));
+        for peer in &peers {
+            self.recorder.put_bool(process.overrides.merge(&peer.effective_overrides()));
         }
-        let usage = ResourceUsage { descriptors: process.descriptors, in_flight: process.held };
-        process.succession.on_peers_observed(others, usage, self.now);
+        let usage = ResourceUsage { descriptors: process.descriptors, in_flight: process.in_flight };
+        process.coordination.on_peers_observed(peers, usage, self.now);
         self.recorder.count("look");
-        self.recorder.put_sequence(process.succession.peers(), put_peer);
-        put_words(&mut self.recorder, &process.words);
-        let share = process.succession.quota_share(self.now);
-        if share.successor_serving && !process.leave.has_successor() {
-            process.leave.successor_serves(self.now);
+        self.recorder.put_sequence(process.coordination.peers(), put_peer);
+        put_overrides(&mut self.recorder, &process.overrides);
+        let share = process.coordination.quota_share(self.now);
+        if share.successor_serving && !process.drain.has_successor() {
+            process.drain.successor_serves(self.now);
             process.stage = ProcessStage::Draining;
             self.recorder.count("succeeded");
         }
     }
 
-    fn observe(&mut self, at: usize) {
+    fn record_process(&mut self, at: usize) {
         let process = &mut self.processes[at];
         self.recorder.put_u64(process.serial);
-        self.recorder.put_usize(process.succession.descriptor_lease());
-        put_share(&mut self.recorder, process.succession.quota_share(self.now));
-        self.recorder.put_option(process.succession.next_deadline(self.now), Recorder::put_u64);
-        put_leave(&mut self.recorder, &process.leave, self.now);
-        if process.leave.exit_by().is_some_and(|end| end <= self.now) {
+        self.recorder.put_usize(process.coordination.descriptor_lease());
+        put_share(&mut self.recorder, process.coordination.quota_share(self.now));
+        self.recorder.put_option(process.coordination.next_deadline(self.now), Recorder::put_u64);
+        put_drain(&mut self.recorder, &process.drain, self.now);
+        if process.drain.exit_by().is_some_and(|end| end <= self.now) {
             process.alive = false;
             self.recorder.count("ended");
         }
     }
 
-    /// The oldest words that let a server in go first, once there are too many.
-    fn too_many_words(&mut self) {
-        let mut words = Overrides::default();
-        for n in 0..MANY_WORDS {
-            let out = one_in(&mut self.random, 3);
-            words.set_server_suspended(&format!("server-{n}"), out, self.now + n);
+    /// Above the limit, the oldest overrides that restore a server are dropped first.
+    fn exceed_override_limit(&mut self) {
+        let mut overrides = Overrides::default();
+        for n in 0..MANY_OVERRIDES {
+            let suspended = one_in(&mut self.random, 3);
+            overrides.set_server_suspended(&format!("server-{n}"), suspended, self.now + n);
         }
-        put_words(&mut self.recorder, &words);
+        put_overrides(&mut self.recorder, &overrides);
     }
 }
 
-fn put_words(recorder: &mut Recorder, words: &Overrides) {
-    recorder.put_stored(words);
-    recorder.put_sequence(words.suspended_servers(), Recorder::put_str);
+fn put_overrides(recorder: &mut Recorder, overrides: &Overrides) {
+    recorder.put_serialized(overrides);
+    recorder.put_sequence(overrides.suspended_servers(), Recorder::put_str);
 }
 
 fn put_peer(recorder: &mut Recorder, peer: &PeerProcess) {
-    recorder.put_stored(&(peer.serial, peer.alive, &peer.state));
+    recorder.put_serialized(&(peer.serial, peer.alive, &peer.state));
 }
 
 fn put_share(recorder: &mut Recorder, share: QuotaShare) {
-    recorder.put_stored(&(
+    recorder.put_serialized(&(
         share.descriptors,
         share.max_in_flight,
         share.free_retries,
@@ -254,8 +258,8 @@
     }
 }
 
-fn put_leave(recorder: &mut Recorder, leave: &DrainState, now: u64) {
-    let (tag, kind) = match leave.phase(now) {
+fn put_drain(recorder: &mut Recorder, drain: &DrainState, now: u64) {
+    let (tag, kind) = match drain.phase(now) {
         DrainPhase::Serving => (0, "serving"),
         DrainPhase::NotReady => (1, "not ready"),
         DrainPhase::ClosingAfterAnswer => (2, "last answers"),
@@ -264,14 +268,14 @@
     };
     recorder.count(kind);
     recorder.put_tag(tag);
-    recorder.put_stored(&(
-        leave.is_ready(now),
-        leave.has_successor(),
-        leave.is_shutting_down(),
-        leave.is_paused(),
+    recorder.put_serialized(&(
+        drain.is_ready(now),
+        drain.has_successor(),
+        drain.is_shutting_down(),
+        drain.is_paused(),
     ));
-    recorder.put_stored(&(leave.stop_listening_at(), leave.answer_by(now)));
-    recorder.put_stored(&(leave.exit_by(), leave.next_deadline(now)));
+    recorder.put_serialized(&(drain.stop_listening_at(), drain.answer_by(now)));
+    recorder.put_serialized(&(drain.exit_by(), drain.next_deadline(now)));
 }
 
 #[test]
@@ -288,7 +292,7 @@
         for _ in 0..EVENTS {
             scenario.event();
         }
-        scenario.too_many_words();
+        scenario.exceed_override_limit();
         scenario.recorder
     });
 }
--- a/tests/recorded_replication/main.rs
+++ b/tests/recorded_replication/main.rs
@@ -1,8 +1,9 @@
-//! Recorded runs of the parts that replicate state, probe peers, agree on permits and hand over between processes.
+//! Recorded runs of the parts that replicate state, probe peers, agree on permits and hand over between
+//! processes.
 //!
-//! Each test plays fixed seeds through one part in simulated time and compares a digest of all that the part emitted, in
-//! order, with the one that was recorded. A change of names or structure leaves the digests as they are; a change of
-//! behaviour does not.
+//! Each test runs one part from fixed seeds in simulated time and compares a digest of everything that the
+//! part emits, in order, with the recorded one. A change of names or structure leaves the digests as they
+//! are; a change of behaviour does not.
 
 mod digest;
 mod gossip;
--- a/tests/recorded_replication/permits.rs
+++ b/tests/recorded_replication/permits.rs
@@ -1,8 +1,8 @@
-//! Proposers that change the table of permits through a majority of voters, over a network that loses, doubles and
-//! reorders messages.
+//! Proposers that change the table of permits through a majority of acceptors, over a network that loses,
+//! duplicates and reorders messages.
 //!
-//! Recorded: every ask, answer, stage and table, and every reason for which a guard refused a change. Not recorded: the
-//! text of refusals, which holds names of Rust variants.
+//! Recorded: every request, response, proposer state and table, and the reason for each rejected change. Not
+//! recorded: the text of rejections, which contains names of Rust variants.
 
 use super::digest::{AtLeast, Recorder, Recording, SECOND, assert_recorded, one_in, pick, random};
 use pebbleturn::maintenance::{
@@ -11,7 +11,7 @@
 };
 use rand_pcg::Pcg32;
 
-/// Recorded before names and structure were changed.
+/// Digests of the code before it was refactored.
 const RECORDINGS: [Recording; 3] = [
     Recording { seed: 1, digest: 0x2bd7_87e8_ac6e_b9e1 },
     Recording { seed: 2, digest: 0x2540_fcad_c9e9_0fc4 },
@@ -19,10 +19,10 @@
 ];
 
 const EVENTS: usize = 12_000;
-const VOTERS: usize = 3;
+const ACCEPTORS: usize = 3;
 const PROPOSERS: usize = 3;
 const MACHINES: u32 = 6;
-const STEPS: [MaintenancePhase; 4] = [
+const PHASES: [MaintenancePhase; 4] = [
     MaintenancePhase::Draining,
     MaintenancePhase::Drained,
     MaintenancePhase::UnderMaintenance,
@@ -30,9 +30,9 @@
 ];
 
 #[derive(Clone)]
-enum Letter {
-    Ask { proposer: usize, voter: usize, ask: Request<Permits> },
-    Answer { proposer: usize, voter: usize, answer: Response<Permits> },
+enum Message {
+    Request { proposer: usize, acceptor: usize, request: Request<Permits> },
+    Response { proposer: usize, acceptor: usize, response: Response<Permits> },
 }
 
 #[derive(Default)]
@@ -46,9 +46,9 @@
     recorder: Recorder,
     now: u64,
     rules: PermitRules,
-    voters: Vec<Acceptor<Permits>>,
+    acceptors: Vec<Acceptor<Permits>>,
     proposers: Vec<ProposerProcess>,
-    letters: Vec<Letter>,
+    messages: Vec<Message>,
 }
 
 impl Scenario {
@@ -64,9 +64,9 @@
                 ring: CellRing { cells: MACHINES, cells_per_partition: 2 },
                 min_holders: 1,
             },
-            voters: vec![Acceptor::default(); VOTERS],
+            acceptors: vec![Acceptor::default(); ACCEPTORS],
             proposers: (0..PROPOSERS).map(|_| ProposerProcess::default()).collect(),
-            letters: Vec::new(),
+            messages: Vec::new(),
         }
     }
 
@@ -74,9 +74,9 @@
         self.now += pick(&mut self.random, 1_000) as u64;
         match pick(&mut self.random, 32) {
             0..=2 => self.begin(),
-            3 => self.restart_voter(),
-            4 => self.lose(),
-            5 => self.double(),
+            3 => self.restart_acceptor(),
+            4 => self.lose_message(),
+            5 => self.duplicate_message(),
             _ => self.deliver(),
         }
     }
@@ -89,71 +89,74 @@
         let proposer = &mut self.proposers[at];
         proposer.round += 1;
         let ballot = Ballot { round: proposer.round, proposer: at as u64 };
-        let (mut attempt, ask) = Proposer::begin(ballot, VOTERS);
+        let (mut attempt, request) = Proposer::begin(ballot, ACCEPTORS);
         if one_in(&mut self.random, 8) {
             let early = attempt.propose(Permits::default());
-            self.recorder.put_stored(&early);
+            self.recorder.put_serialized(&early);
         }
         self.recorder.count("attempt");
-        self.recorder.put_stored(&attempt.ballot());
+        self.recorder.put_serialized(&attempt.ballot());
         self.proposers[at].attempt = Some(attempt);
-        self.ask_all(at, &ask);
+        self.send_to_all(at, &request);
     }
 
-    fn ask_all(&mut self, proposer: usize, ask: &Request<Permits>) {
-        self.recorder.put_stored(ask);
-        let letters = (0..VOTERS).map(|voter| Letter::Ask { proposer, voter, ask: ask.clone() });
-        self.letters.extend(letters);
+    fn send_to_all(&mut self, proposer: usize, request: &Request<Permits>) {
+        self.recorder.put_serialized(request);
+        let messages =
+            (0..ACCEPTORS).map(|acceptor| Message::Request { proposer, acceptor, request: request.clone() });
+        self.messages.extend(messages);
     }
 
-    /// A voter starts again with what it had on disk.
-    fn restart_voter(&mut self) {
-        let voter = pick(&mut self.random, VOTERS);
-        let disk = postcard::to_allocvec(&self.voters[voter]).unwrap();
+    /// An acceptor restarts from its state on disk.
+    fn restart_acceptor(&mut self) {
+        let acceptor = pick(&mut self.random, ACCEPTORS);
+        let disk = postcard::to_allocvec(&self.acceptors[acceptor]).unwrap();
         self.recorder.put_bytes(&disk);
-        self.voters[voter] = postcard::from_bytes(&disk).unwrap();
-        self.recorder.put_stored(&self.voters[voter].accepted_value());
+        self.acceptors[acceptor] = postcard::from_bytes(&disk).unwrap();
+        self.recorder.put_serialized(&self.acceptors[acceptor].accepted_value());
         self.recorder.count("voter restart");
     }
 
-    fn take_letter(&mut self) -> Option<Letter> {
-        if self.letters.is_empty() {
+    fn take_message(&mut self) -> Option<Message> {
+        if self.messages.is_empty() {
             return None;
         }
-        let at = pick(&mut self.random, self.letters.len());
-        Some(self.letters.swap_remove(at))
+        let at = pick(&mut self.random, self.messages.len());
+        Some(self.messages.swap_remove(at))
     }
 
-    fn lose(&mut self) {
-        if self.take_letter().is_some() {
+    fn lose_message(&mut self) {
+        if self.take_message().is_some() {
             self.recorder.count("lost");
         }
     }
 
-    fn double(&mut self) {
-        if let Some(letter) = self.take_letter() {
-            self.letters.push(letter.clone());
-            self.letters.push(letter);
+    fn duplicate_message(&mut self) {
+        if let Some(message) = self.take_message() {
+            self.messages.push(message.clone());
+            self.messages.push(message);
             self.recorder.count("doubled");
         }
     }
 
     fn deliver(&mut self) {
-        match self.take_letter() {
-            Some(Letter::Ask { proposer, voter, ask }) => {
-                let answer = self.voters[voter].on_request(&ask);
-                put_answer(&mut self.recorder, &answer);
-                self.letters.push(Letter::Answer { proposer, voter, answer });
+        match self.take_message() {
+            Some(Message::Request { proposer, acceptor, request }) => {
+                let response = self.acceptors[acceptor].on_request(&request);
+                put_response(&mut self.recorder, &response);
+                self.messages.push(Message::Response { proposer, acceptor, response });
+            }
+            Some(Message::Response { proposer, acceptor, response }) => {
+                self.on_response(proposer, acceptor, &response)
             }
-            Some(Letter::Answer { proposer, voter, answer }) => self.hear(proposer, voter, &answer),
             None => {}
         }
     }
 
-    fn hear(&mut self, at: usize, voter: usize, answer: &Response<Permits>) {
+    fn on_response(&mut self, at: usize, acceptor: usize, response: &Response<Permits>) {
         let Some(mut attempt) = self.proposers[at].attempt.take() else { return };
-        attempt.on_response(voter as u64, answer);
-        put_stage(&mut self.recorder, attempt.state());
+        attempt.on_response(acceptor as u64, response);
+        put_proposer_state(&mut self.recorder, attempt.state());
         match attempt.state().clone() {
             ProposerState::Preparing | ProposerState::Proposing(_) => {
                 self.proposers[at].attempt = Some(attempt)
@@ -166,81 +169,82 @@
         }
     }
 
-    /// Proposes a changed table; where a guard refuses the change, the table as it was read, or nothing.
+    /// Proposes a changed table. If the change is rejected, proposes the table as it was read, or nothing.
     fn propose(&mut self, at: usize, mut attempt: Proposer<Permits>, table: Permits) {
         let next = self.change(&table, &format!("broker-{at}"));
         self.recorder.put_bool(next.is_ok());
         let next = match next {
             Ok(next) => next,
-            Err(refused) => {
-                put_refused(&mut self.recorder, &refused);
+            Err(error) => {
+                put_permit_error(&mut self.recorder, &error);
                 if one_in(&mut self.random, 2) {
                     return;
                 }
                 table
             }
         };
-        let ask = attempt.propose(next).unwrap();
+        let request = attempt.propose(next).unwrap();
         self.proposers[at].attempt = Some(attempt);
-        self.ask_all(at, &ask);
+        self.send_to_all(at, &request);
     }
 
     fn change(&mut self, table: &Permits, broker: &str) -> Result<Permits, PermitError> {
-        // One more than there are: no list names the last.
+        // One more machine than there are: the last one is not in the list.
         let machine = format!("machine-{}", pick(&mut self.random, MACHINES as usize + 1));
-        let stands = table.active().find(|(id, _)| *id == machine).map(|(_, permit)| permit.clone());
+        let current = table.active().find(|(id, _)| *id == machine).map(|(_, permit)| permit.clone());
         let stale = u64::from(one_in(&mut self.random, 8));
-        let fence = stands
+        let fence = current
             .as_ref()
             .map_or(table.last_fencing_token(), |permit| permit.fencing_token.saturating_sub(stale));
-        let usual = stands.as_ref().map_or(MaintenancePhase::Drained, |permit| usual_next(permit.phase));
-        let grants = stands.is_none() && !one_in(&mut self.random, 8);
+        let next_phase =
+            current.as_ref().map_or(MaintenancePhase::Drained, |permit| following_phase(permit.phase));
+        let grants = current.is_none() && !one_in(&mut self.random, 8);
         let choice = if grants { 0 } else { pick(&mut self.random, 16) };
         match choice {
             0 => {
                 let request = PermitRequest { machine: &machine, order: "order", broker };
                 table.grant(&request, &self.rules, self.now)
             }
-            1 | 2 => table.advance(&machine, fence, STEPS[pick(&mut self.random, STEPS.len())], self.now),
+            1 | 2 => table.advance(&machine, fence, PHASES[pick(&mut self.random, PHASES.len())], self.now),
             3..=5 => table.release(&machine, fence),
             6 => table.force_release(&machine, fence),
-            _ => table.advance(&machine, fence, usual, self.now),
+            _ => table.advance(&machine, fence, next_phase, self.now),
         }
     }
 }
 
-fn usual_next(step: MaintenancePhase) -> MaintenancePhase {
-    match step {
+fn following_phase(phase: MaintenancePhase) -> MaintenancePhase {
+    match phase {
         MaintenancePhase::Draining => MaintenancePhase::Drained,
         MaintenancePhase::Drained => MaintenancePhase::UnderMaintenance,
         MaintenancePhase::UnderMaintenance | MaintenancePhase::WarmingUp => MaintenancePhase::WarmingUp,
     }
 }
 
-fn put_answer(recorder: &mut Recorder, answer: &Response<Permits>) {
-    recorder.count(match answer {
+fn put_response(recorder: &mut Recorder, response: &Response<Permits>) {
+    recorder.count(match response {
         Response::Promised { .. } => "promised",
         Response::Accepted { .. } => "accepted",
         Response::Rejected { .. } => "refused by a voter",
     });
-    recorder.put_stored(answer);
+    recorder.put_serialized(response);
 }
 
-fn put_stage(recorder: &mut Recorder, stage: &ProposerState<Permits>) {
-    match stage {
+fn put_proposer_state(recorder: &mut Recorder, state: &ProposerState<Permits>) {
+    match state {
         ProposerState::Preparing => recorder.put_tag(0),
         ProposerState::Prepared(value) => {
             recorder.put_tag(1);
-            recorder.put_stored(value);
+            recorder.put_serialized(value);
         }
         ProposerState::Proposing(value) => {
             recorder.put_tag(2);
-            recorder.put_stored(value);
+            recorder.put_serialized(value);
         }
         ProposerState::Chosen(value) => {
             recorder.count("agreed");
             recorder.put_tag(3);
-            recorder.put_stored(value);
+            recorder.put_serialized(value);
         }
         ProposerState::Preempted(round) => {
             recorder.count("overtaken");
@@ -250,19 +254,19 @@
     }
 }
 
-fn put_refused(recorder: &mut Recorder, refused: &PermitError) {
-    match refused {
-        PermitError::LimitReached { active: out, limit: most } => {
+fn put_permit_error(recorder: &mut Recorder, error: &PermitError) {
+    match error {
+        PermitError::LimitReached { active, limit } => {
             recorder.count("too many");
             recorder.put_tag(0);
-            recorder.put_usize(*out);
-            recorder.put_usize(*most);
+            recorder.put_usize(*active);
+            recorder.put_usize(*limit);
         }
-        PermitError::TooFewHolders { partition, remaining: left } => {
+        PermitError::TooFewHolders { partition, remaining } => {
             recorder.count("too few holders");
             recorder.put_tag(1);
             recorder.put_u64(u64::from(*partition));
-            recorder.put_usize(*left);
+            recorder.put_usize(*remaining);
         }
         PermitError::AlreadyGranted(fence) => {
             recorder.count("out already");
@@ -273,16 +277,16 @@
             recorder.count("unknown");
             recorder.put_tag(3);
         }
-        PermitError::StaleFencingToken { given: named, current: stands } => {
+        PermitError::StaleFencingToken { given, current } => {
             recorder.count("fenced");
             recorder.put_tag(4);
-            recorder.put_u64(*named);
-            recorder.put_option(*stands, Recorder::put_u64);
+            recorder.put_u64(*given);
+            recorder.put_option(*current, Recorder::put_u64);
         }
         PermitError::InvalidTransition { from, to } => {
             recorder.count("out of turn");
             recorder.put_tag(5);
-            recorder.put_stored(&(from, to));
+            recorder.put_serialized(&(from, to));
         }
     }
 }
--- a/tests/recorded_replication/replicated_state.rs
+++ b/tests/recorded_replication/replicated_state.rs
@@ -1,8 +1,10 @@
-//! Copies of the replicated state that take words, join facts of each other, are cut off, forget, and catch up by walks.
+//! Replicas of the state that record commands, join facts of each other, are cut off, collect garbage, and
+//! catch up by anti-entropy sessions.
 //!
-//! Recorded: the result of every change, every message of a walk, every piece of news, and after each event the version,
-//! the root digest and what follows for the copy's broker. Not recorded: `DerivedState::ends`, which can only be read by
-//! `until` and `ended` (both are recorded).
+//! Recorded: the result of every change, every message of a session, every batch of rumors, and after each
+//! event the version, the root digest and the derived state of the replica's broker. Not recorded: the
+//! expiries within `DerivedState`, which can only be read by `next_expiry` and `expired_keys` (both are
+//! recorded).
 
 use super::digest::{AtLeast, Recorder, Recording, SECOND, assert_recorded, one_in, pick, random};
 use pebbleturn::replication::anti_entropy::{self, SyncMessage, SyncSession};
@@ -16,7 +18,7 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// Recorded before names and structure were changed.
+/// Digests of the code before it was refactored.
 const RECORDINGS: [Recording; 3] = [
     Recording { seed: 1, digest: 0x05b7_0f9f_f016_09e9 },
     Recording { seed: 2, digest: 0x0cce_2ddc_d573_99e4 },
@@ -24,28 +26,28 @@
 ];
 
 const EVENTS: usize = 4_000;
-const COPIES: usize = 4;
-const BOUNDS: StoreLimits = StoreLimits {
+const REPLICAS: usize = 4;
+const LIMITS: StoreLimits = StoreLimits {
     max_registers: 20,
     max_servers: 8,
     retention: 100 * SECOND,
     max_clock_lead: 600 * SECOND,
     max_origins: 24,
 };
-/// Bytes of news that one message holds.
-const NEWS_ROOM: usize = 500;
-/// Words that do not fit into one message, and walks that bring them.
-const LARGE_WORDS: u64 = 20;
-const LARGE_WALKS: usize = 20;
-/// Old facts that are held back and come again later.
-const OLD_FACTS: usize = 200;
+/// Maximum size of a batch of rumors, bytes.
+const RUMOR_BATCH_BYTES: usize = 500;
+/// Commands that together exceed one message, and the sessions that transfer them.
+const LARGE_COMMANDS: u64 = 20;
+const LARGE_SESSIONS: usize = 20;
+/// Maximum number of old facts that are retained and joined again later.
+const MAX_OLD_FACTS: usize = 200;
 
-/// One copy, and what its broker makes of it.
+/// A replica of the state, and the state that its broker derives from it.
 struct Replica {
     name: String,
-    copy: StateStore,
-    news: RumorQueue,
-    effect: DerivedState,
+    store: StateStore,
+    rumors: RumorQueue,
+    derived: DerivedState,
 }
 
 struct Scenario {
@@ -69,10 +71,10 @@
             cuts: BTreeSet::new(),
             old_facts: Vec::new(),
         };
-        for n in 0..COPIES {
-            let copy = StateStore::new(scenario.draw_origin(), BOUNDS);
-            let (news, effect) = (RumorQueue::default(), DerivedState::default());
-            scenario.replicas.push(Replica { name: format!("broker-{n}"), copy, news, effect });
+        for n in 0..REPLICAS {
+            let store = StateStore::new(scenario.draw_origin(), LIMITS);
+            let (rumors, derived) = (RumorQueue::default(), DerivedState::default());
+            scenario.replicas.push(Replica { name: format!("broker-{n}"), store, rumors, derived });
         }
         scenario
     }
@@ -84,27 +86,27 @@
 
     fn event(&mut self) {
         self.now += pick(&mut self.random, 8) as u64 * SECOND;
-        let at = pick(&mut self.random, COPIES);
-        let other = (at + 1 + pick(&mut self.random, COPIES - 1)) % COPIES;
+        let at = pick(&mut self.random, REPLICAS);
+        let other = (at + 1 + pick(&mut self.random, REPLICAS - 1)) % REPLICAS;
         match pick(&mut self.random, 32) {
-            0..=7 => self.say(at),
-            8..=10 => self.discover(at),
-            11..=12 => self.forget(at),
+            0..=7 => self.issue_command(at),
+            8..=10 => self.join_process_event(at),
+            11..=12 => self.collect_garbage(at),
             13..=14 => self.join_old_fact(at),
-            15 => self.join_unsound(at),
+            15 => self.join_invalid_facts(at),
             16..=17 => self.cut(at, other),
-            18..=22 => self.tell_news(at),
+            18..=22 => self.spread_rumors(at),
             23..=25 => self.merge(other, at),
-            26 => self.double(at),
-            _ => self.walk(at, other),
+            26 => self.duplicate_origin(at),
+            _ => self.synchronize(at, other),
         }
-        self.observe(at);
+        self.record_state(at);
     }
 
     fn draw_key(&mut self) -> FactKey {
         match pick(&mut self.random, 16) {
-            0 | 1 => FactKey::Pause(format!("broker-{}", pick(&mut self.random, COPIES))),
-            2 => FactKey::Removed(format!("broker-{}", pick(&mut self.random, COPIES))),
+            0 | 1 => FactKey::Pause(format!("broker-{}", pick(&mut self.random, REPLICAS))),
+            2 => FactKey::Removed(format!("broker-{}", pick(&mut self.random, REPLICAS))),
             3 => FactKey::MaintenanceOrder(format!("order-{}", pick(&mut self.random, 3))),
             4 => FactKey::Site(format!("site-{}", pick(&mut self.random, 3))),
             5 if one_in(&mut self.random, 4) => FactKey::Server(String::new()),
@@ -113,38 +115,38 @@
         }
     }
 
-    fn draw_word(&mut self, at: usize) -> OperatorCommand {
+    fn draw_command(&mut self, at: usize) -> OperatorCommand {
         let value = match pick(&mut self.random, 6) {
             0..=2 => CommandValue::Clear,
             3 | 4 => CommandValue::Set,
             _ => CommandValue::Text("text ".repeat(1 + pick(&mut self.random, 900))),
         };
-        let lasts = one_in(&mut self.random, 3).then(|| 1 + pick(&mut self.random, 90) as u64 * SECOND);
+        let lifetime = one_in(&mut self.random, 3).then(|| 1 + pick(&mut self.random, 90) as u64 * SECOND);
         OperatorCommand {
             value,
             author: "staff".into(),
             reason: "reason".into(),
             broker: format!("broker-{at}"),
             issued_at: self.now,
-            expires_at: lasts.map(|time| self.now + time),
+            expires_at: lifetime.map(|time| self.now + time),
         }
     }
 
-    fn say(&mut self, at: usize) {
-        let (key, word) = (self.draw_key(), self.draw_word(at));
+    fn issue_command(&mut self, at: usize) {
+        let (key, command) = (self.draw_key(), self.draw_command(at));
         let replica = &mut self.replicas[at];
-        let result = replica.copy.record(&key, word);
+        let result = replica.store.record(&key, command);
         if result.is_ok() {
-            replica.news.push(key, COPIES);
+            replica.rumors.push(key, REPLICAS);
             self.recorder.count("said");
         }
         put_result(&mut self.recorder, result);
     }
 
-    fn discover(&mut self, at: usize) {
+    fn join_process_event(&mut self, at: usize) {
         let id = format!("server-{}", pick(&mut self.random, 20));
         let key = if one_in(&mut self.random, 2) { FactKey::Drain(id) } else { FactKey::Start(id) };
-        // Some lie further ahead than may be.
+        // Some lie further ahead than the clock lead allows.
         let started = self.now - 100 * SECOND + pick(&mut self.random, 800) as u64 * SECOND;
         let latest = ProcessStart { started, list_version: pick(&mut self.random, 9) as u64 };
         self.join(at, &key, &FactValue::Latest(latest));
@@ -152,10 +154,10 @@
 
     fn join(&mut self, at: usize, key: &FactKey, entry: &FactValue) {
         let replica = &mut self.replicas[at];
-        let result = replica.copy.join(key, entry, self.now);
+        let result = replica.store.join(key, entry, self.now);
         match result {
             Ok(true) => {
-                replica.news.push(key.clone(), COPIES);
+                replica.rumors.push(key.clone(), REPLICAS);
                 self.recorder.count("joined");
             }
             Ok(false) => self.recorder.count("known already"),
@@ -164,12 +166,12 @@
         put_result(&mut self.recorder, result);
     }
 
-    fn forget(&mut self, at: usize) {
-        let forgotten = self.replicas[at].copy.collect_garbage(self.now);
-        if !forgotten.is_empty() {
+    fn collect_garbage(&mut self, at: usize) {
+        let collected = self.replicas[at].store.collect_garbage(self.now);
+        if !collected.is_empty() {
             self.recorder.count("forgot");
         }
-        self.recorder.put_stored(&forgotten);
+        self.recorder.put_serialized(&collected);
     }
 
     fn join_old_fact(&mut self, at: usize) {
@@ -180,15 +182,15 @@
         self.join(at, &key, &entry);
     }
 
-    fn join_unsound(&mut self, at: usize) {
-        let words = FactValue::Commands(Register::default());
+    fn join_invalid_facts(&mut self, at: usize) {
+        let commands = FactValue::Commands(Register::default());
         let keys = [
             FactKey::Drain("server-1".into()),
             FactKey::Server("x".repeat(129)),
             FactKey::Collected(Origin(1)),
         ];
         for key in &keys {
-            self.join(at, key, &words);
+            self.join(at, key, &commands);
         }
     }
 
@@ -204,172 +206,175 @@
         self.cuts.contains(&(at.min(other), at.max(other)))
     }
 
-    fn tell_news(&mut self, at: usize) {
+    fn spread_rumors(&mut self, at: usize) {
         let replica = &mut self.replicas[at];
-        let facts = replica.news.take(&replica.copy, NEWS_ROOM);
-        self.recorder.put_bool(replica.news.is_empty());
-        self.recorder.put_stored(&facts);
+        let facts = replica.rumors.take(&replica.store, RUMOR_BATCH_BYTES);
+        self.recorder.put_bool(replica.rumors.is_empty());
+        self.recorder.put_serialized(&facts);
         if !facts.is_empty() {
             self.recorder.count("news");
         }
-        for to in (0..COPIES).filter(|to| *to != at) {
+        for to in (0..REPLICAS).filter(|to| *to != at) {
             if !self.is_cut(at, to) && !one_in(&mut self.random, 3) {
                 facts.iter().for_each(|(key, entry)| self.join(to, key, entry));
             }
         }
     }
 
-    /// A copy takes in the facts of another one, but for some that are lost.
+    /// A replica joins the facts of another one, except for some that are lost.
     fn merge(&mut self, from: usize, to: usize) {
         if self.is_cut(from, to) {
             return;
         }
         self.recorder.count("merge");
         let facts: Vec<Fact> =
-            self.replicas[from].copy.facts().map(|(key, entry)| (key.clone(), entry.clone())).collect();
+            self.replicas[from].store.facts().map(|(key, entry)| (key.clone(), entry.clone())).collect();
         for (key, entry) in facts {
             if one_in(&mut self.random, 3) {
                 continue;
             }
             self.join(to, &key, &entry);
-            if one_in(&mut self.random, 10) && self.old_facts.len() < OLD_FACTS {
+            if one_in(&mut self.random, 10) && self.old_facts.len() < MAX_OLD_FACTS {
                 self.old_facts.push((key, entry));
             }
         }
     }
 
-    /// Another process has a copied memory: both use one origin until that is noticed.
-    fn double(&mut self, at: usize) {
-        let mut twin = self.replicas[at].copy.clone();
-        let word = self.draw_word(at);
-        let told = twin.record(&FactKey::Server("server-0".into()), word);
-        put_result(&mut self.recorder, told);
-        let facts: Vec<Fact> = twin.facts().map(|(key, entry)| (key.clone(), entry.clone())).collect();
+    /// Another process runs from a copy of the memory: both use one origin until the duplicate is detected.
+    fn duplicate_origin(&mut self, at: usize) {
+        let mut duplicate = self.replicas[at].store.clone();
+        let command = self.draw_command(at);
+        let result = duplicate.record(&FactKey::Server("server-0".into()), command);
+        put_result(&mut self.recorder, result);
+        let facts: Vec<Fact> = duplicate.facts().map(|(key, entry)| (key.clone(), entry.clone())).collect();
         facts.iter().for_each(|(key, entry)| self.join(at, key, entry));
-        self.recorder.put_bool(self.replicas[at].copy.has_duplicate_origin());
-        self.say(at);
-        if self.replicas[at].copy.has_duplicate_origin() {
+        self.recorder.put_bool(self.replicas[at].store.has_duplicate_origin());
+        self.issue_command(at);
+        if self.replicas[at].store.has_duplicate_origin() {
             let origin = self.draw_origin();
-            self.replicas[at].copy.set_origin(origin);
+            self.replicas[at].store.set_origin(origin);
             self.recorder.count("new origin");
         }
     }
 
-    /// One copy walks with another one, until the walk is over or breaks off.
-    fn walk(&mut self, at: usize, other: usize) {
+    /// One replica synchronizes with another one, until the session finishes or breaks off.
+    fn synchronize(&mut self, at: usize, other: usize) {
         if self.is_cut(at, other) {
             return;
         }
         let budget = [300, 5_000, 1 << 20][pick(&mut self.random, 3)];
-        let (mut walk, mut ask) = SyncSession::begin(&self.replicas[at].copy, budget);
+        let (mut session, mut request) = SyncSession::begin(&self.replicas[at].store, budget);
         self.recorder.count("walk");
         while !one_in(&mut self.random, 20) {
-            let answer = self.answer(other, &ask);
-            answer.facts().iter().for_each(|(key, entry)| self.join(at, key, entry));
-            match walk.on_response(&self.replicas[at].copy, &answer).unwrap() {
-                Some(next) => ask = next,
+            let response = self.respond(other, &request);
+            response.facts().iter().for_each(|(key, entry)| self.join(at, key, entry));
+            match session.on_response(&self.replicas[at].store, &response).unwrap() {
+                Some(next) => request = next,
                 None => break,
             }
         }
-        self.recorder.put_bool(walk.is_finished());
-        self.recorder.put_bool(walk.is_complete());
-        self.recorder.count(if walk.is_complete() { "whole walk" } else { "partial walk" });
-        // What is out of turn ends a walk.
-        let refused = walk.on_response(&self.replicas[at].copy, &SyncMessage::Begin { root: 0 }).is_err();
-        self.recorder.put_bool(refused);
+        self.recorder.put_bool(session.is_finished());
+        self.recorder.put_bool(session.is_complete());
+        self.recorder.count(if session.is_complete() { "whole walk" } else { "partial walk" });
+        // A message out of sequence ends a session.
+        let is_rejected =
+            session.on_response(&self.replicas[at].store, &SyncMessage::Begin { root: 0 }).is_err();
+        self.recorder.put_bool(is_rejected);
     }
 
-    fn answer(&mut self, other: usize, ask: &SyncMessage) -> SyncMessage {
-        self.put_message(ask);
-        ask.facts().iter().for_each(|(key, entry)| self.join(other, key, entry));
-        let answer = anti_entropy::respond(&self.replicas[other].copy, ask).unwrap();
-        self.put_message(&answer);
-        answer
+    fn respond(&mut self, other: usize, request: &SyncMessage) -> SyncMessage {
+        self.record_message(request);
+        request.facts().iter().for_each(|(key, entry)| self.join(other, key, entry));
+        let response = anti_entropy::respond(&self.replicas[other].store, request).unwrap();
+        self.record_message(&response);
+        response
     }
 
-    fn put_message(&mut self, message: &SyncMessage) {
+    fn record_message(&mut self, message: &SyncMessage) {
         match message {
             SyncMessage::Facts { resume_at: Some(_), .. } => self.recorder.count("facts in parts"),
             SyncMessage::Push { .. } => self.recorder.count("given"),
             _ => {}
         }
-        self.recorder.put_stored(message);
+        self.recorder.put_serialized(message);
     }
 
-    fn observe(&mut self, at: usize) {
+    fn record_state(&mut self, at: usize) {
         let (now, recorder) = (self.now, &mut self.recorder);
-        let Replica { name, copy, effect, .. } = &mut self.replicas[at];
-        let mut keys = copy.take_changed_keys();
-        recorder.put_stored(&keys);
-        let ended = effect.expired_keys(now);
-        recorder.put_stored(&ended);
-        keys.extend(ended);
-        keys.iter().for_each(|key| effect.update(copy, key, name, now));
-        recorder.put_stored(&(copy.origin(), copy.version(), copy.len(), copy.tree().root()));
-        put_effect(recorder, effect);
-        if !effect.conflicts.is_empty() {
+        let Replica { name, store, derived, .. } = &mut self.replicas[at];
+        let mut keys = store.take_changed_keys();
+        recorder.put_serialized(&keys);
+        let expired = derived.expired_keys(now);
+        recorder.put_serialized(&expired);
+        keys.extend(expired);
+        keys.iter().for_each(|key| derived.update(store, key, name, now));
+        recorder.put_serialized(&(store.origin(), store.version(), store.len(), store.tree().root()));
+        put_derived_state(recorder, derived);
+        if !derived.conflicts.is_empty() {
             recorder.count("conflict");
         }
     }
 
-    /// Copies whose facts need several messages, and one register more words than travel together.
-    fn walk_in_parts(&mut self) {
+    /// Synchronizes replicas whose facts need several messages, with one register of more commands than one
+    /// message holds.
+    fn synchronize_large_state(&mut self) {
         self.cuts.clear();
-        self.replicas[0].copy = StateStore::new(Origin(1), StoreLimits::default());
-        self.replicas[1].copy = StateStore::new(Origin(2), StoreLimits::default());
-        for n in 0..LARGE_WORDS {
+        self.replicas[0].store = StateStore::new(Origin(1), StoreLimits::default());
+        self.replicas[1].store = StateStore::new(Origin(2), StoreLimits::default());
+        for n in 0..LARGE_COMMANDS {
             let mut author = StateStore::new(Origin(1_000 + n), StoreLimits::default());
-            let word = OperatorCommand { value: CommandValue::Text("x".repeat(4_000)), ..self.draw_word(0) };
+            let command =
+                OperatorCommand { value: CommandValue::Text("x".repeat(4_000)), ..self.draw_command(0) };
             for key in [
                 FactKey::MaintenanceOrder(format!("order-{n}")),
                 FactKey::MaintenanceOrder("contested".into()),
             ] {
-                author.record(&key, word.clone()).unwrap();
+                author.record(&key, command.clone()).unwrap();
             }
             author.facts().for_each(|(key, entry)| self.join(0, key, entry));
         }
-        (0..LARGE_WALKS).for_each(|_| self.walk(1, 0));
+        (0..LARGE_SESSIONS).for_each(|_| self.synchronize(1, 0));
     }
 
     fn finish(mut self) -> Recorder {
         for replica in &self.replicas {
             let recorder = &mut self.recorder;
-            recorder.put_bytes(&replica.copy.to_bytes());
-            for (_, register) in replica.copy.registers() {
-                recorder.put_stored(&register.split(1));
-                register.commands().for_each(|(_, said)| recorder.put_str(said.value.label()));
+            recorder.put_bytes(&replica.store.to_bytes());
+            for (_, register) in replica.store.registers() {
+                recorder.put_serialized(&register.split(1));
+                register.commands().for_each(|(_, command)| recorder.put_str(command.value.label()));
             }
-            for (id, heard) in derived_state::node_hints(&replica.copy) {
-                recorder.put_stored(&(id, heard.drain, heard.started));
+            for (id, hints) in derived_state::node_hints(&replica.store) {
+                recorder.put_serialized(&(id, hints.drain, hints.started));
             }
-            put_effect(recorder, &DerivedState::new(&replica.copy, &replica.name, self.now));
+            put_derived_state(recorder, &DerivedState::new(&replica.store, &replica.name, self.now));
         }
         self.recorder
     }
 }
 
 fn put_result(recorder: &mut Recorder, result: Result<impl Serialize, JoinError>) {
-    let refused = match result {
-        Ok(value) => return recorder.put_stored(&(true, value)),
-        Err(refused) => refused,
+    let error = match result {
+        Ok(value) => return recorder.put_serialized(&(true, value)),
+        Err(error) => error,
     };
-    let (tag, kind) = match refused {
+    let (tag, kind) = match error {
         JoinError::Invalid => (1, "unsound"),
         JoinError::FromTheFuture => (2, "ahead"),
         JoinError::AtCapacity => (3, "full"),
         JoinError::DuplicateOrigin => (4, "doubled"),
     };
-    recorder.put_stored(&(false, tag));
+    recorder.put_serialized(&(false, tag));
     recorder.count(kind);
 }
 
-pub fn put_effect(recorder: &mut Recorder, effect: &DerivedState) {
-    recorder.put_stored(&(
-        &effect.disabled_servers,
-        effect.paused,
-        &effect.removed_brokers,
-        &effect.conflicts,
-        effect.next_expiry(),
+pub fn put_derived_state(recorder: &mut Recorder, derived: &DerivedState) {
+    recorder.put_serialized(&(
+        &derived.disabled_servers,
+        derived.paused,
+        &derived.removed_brokers,
+        &derived.conflicts,
+        derived.next_expiry(),
     ));
 }
 
@@ -386,7 +391,7 @@
         for _ in 0..EVENTS {
             scenario.event();
         }
-        scenario.walk_in_parts();
+        scenario.synchronize_large_state();
         scenario.finish()
     });
 }
