--- a/tests/glossary.rs
+++ b/tests/glossary.rs
@@ -1,4 +1,4 @@
-//! The glossary names what is in the code.
+//! Checks that the names in the glossary exist in the code.
 
 use std::path::Path;
 
@@ -13,12 +13,12 @@
     }
 }
 
-fn is_word(source: &str, name: &str) -> bool {
-    let is_part = |c: char| c.is_alphanumeric() || c == '_';
+fn contains_word(source: &str, name: &str) -> bool {
+    let is_word_char = |c: char| c.is_alphanumeric() || c == '_';
     source.match_indices(name).any(|(start, _)| {
         let before = source[..start].chars().next_back();
         let after = source[start + name.len()..].chars().next();
-        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+        !before.is_some_and(is_word_char) && !after.is_some_and(is_word_char)
     })
 }
 
@@ -32,7 +32,7 @@
     for row in rows.filter(|row| !row.contains("---")) {
         let names = row.trim_end_matches(" |").rsplit(" | ").next().unwrap();
         for name in names.split('`').skip(1).step_by(2) {
-            assert!(is_word(&source, name), "{name:?} of the glossary is not in src/");
+            assert!(contains_word(&source, name), "{name:?} of the glossary is not in src/");
             checked += 1;
         }
     }
