--- a/tests/discovery_faults/broker_process.rs
+++ b/tests/discovery_faults/broker_process.rs
@@ -1,4 +1,4 @@
-//! The program as a process, and a client that asks it without a pause.
+//! A broker process, and clients that send it queries continuously.
 
 use pebbleturn_lab::standins::read_http;
 use std::io::{BufRead, BufReader, Write};
@@ -11,10 +11,10 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pebbleturn");
 /// Time between two queries of a client.
 const QUERY_INTERVAL: Duration = Duration::from_millis(15);
-/// Longer than any query takes.
-const HUNG: Duration = Duration::from_secs(20);
+/// Longer than any query takes; guards against hangs.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A broker; it does not outlive its test.
+/// A broker process, killed when dropped.
 pub struct BrokerProcess {
     child: Child,
     config: NamedTempFile,
@@ -23,7 +23,7 @@
 }
 
 impl BrokerProcess {
-    /// Starts it with this configuration, and returns once it listens.
+    /// Starts a broker with this configuration, and returns once it listens.
     pub fn start(config: &str) -> BrokerProcess {
         let mut file = NamedTempFile::new().unwrap();
         file.write_all(config.as_bytes()).unwrap();
@@ -38,23 +38,23 @@
         let listens = lines.find(|line| line.contains(" listens at ")).expect("the broker did not start");
         let addr = listens.rsplit(' ').next().unwrap().parse().unwrap();
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
-        std::thread::spawn(move || lines.for_each(|line| kept.lock().unwrap().push(line)));
+        let log_writer = log.clone();
+        std::thread::spawn(move || lines.for_each(|line| log_writer.lock().unwrap().push(line)));
         BrokerProcess { child, config: file, addr, log }
     }
 
-    /// Replaces its configuration, without a word.
+    /// Replaces its configuration file without signalling it.
     pub fn write_config(&self, config: &str) {
         std::fs::write(self.config.path(), config).unwrap();
     }
 
-    /// Tells it to read its configuration again.
+    /// Signals it to reload its configuration.
     pub fn reload(&self) {
         self.signal("-HUP");
     }
 
-    /// Stops it for this long.
-    pub fn hold_up(&self, time: Duration) {
+    /// Stops the process for this long.
+    pub fn pause_for(&self, time: Duration) {
         self.signal("-STOP");
         std::thread::sleep(time);
         self.signal("-CONT");
@@ -65,17 +65,17 @@
         assert!(Command::new("kill").args([name, &process]).status().unwrap().success());
     }
 
-    /// What it logged, for a test that fails.
+    /// Its log so far, for the message of a failed test.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().join("\n")
     }
 
-    /// Sends queries from so many clients for this long; says how they ended.
+    /// Sends queries from this many clients for this long, and counts their outcomes.
     pub fn query_for(&self, time: Duration, clients: usize) -> Answers {
         std::thread::scope(|scope| {
             let clients: Vec<_> =
                 (0..clients).map(|client| scope.spawn(move || self.query_as(client, time))).collect();
-            let answers = clients.into_iter().map(|client| client.join().expect("a query without an answer"));
+            let answers = clients.into_iter().map(|client| client.join().expect("query got no answer"));
             answers.fold(Answers::default(), Answers::plus)
         })
     }
@@ -84,7 +84,7 @@
         let mut answers = Answers::default();
         let start = std::time::Instant::now();
         let mut stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(HUNG)).unwrap();
+        stream.set_read_timeout(Some(QUERY_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         while start.elapsed() < time {
             let body = r#"{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"t"}"#;
@@ -94,7 +94,7 @@
                 body.len()
             );
             stream.write_all(request.as_bytes()).unwrap();
-            let (head, _) = read_http(&mut stream).expect("a query without an answer");
+            let (head, _) = read_http(&mut stream).expect("query got no answer");
             if head.contains(" 200 ") {
                 answers.served += 1;
             } else {
@@ -113,7 +113,7 @@
     }
 }
 
-/// How queries ended.
+/// Numbers of queries by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Answers {
     pub served: u64,
--- a/tests/discovery_faults/drawn.rs
+++ b/tests/discovery_faults/drawn.rs
@@ -1,7 +1,7 @@
-//! Scenarios drawn by seed: combinations of faults that nobody thought of.
+//! Random scenarios, generated from a seed: combinations of faults beyond the listed ones.
 //!
-//! They keep to what a broker can get right: from any moment on from which the drain may count as reported, at most one
-//! call meets a fault, and no outage hides a report that was lost.
+//! They stay within what a broker can handle: after any time from which the drain may count as reported, at
+//! most one call fails, and no outage hides a lost report.
 
 use super::judge::Mode;
 use super::scenarios::{NEVER_MS, Reload, Scenario, outage_of};
@@ -10,12 +10,12 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Longest time from the last event of a scenario to the drain, ms.
-const DRAIN_WITHIN_MS: u64 = 1_500;
+/// Longest time from the end of an outage to the drain, ms.
+const MAX_DRAIN_DELAY_MS: u64 = 1_500;
 
-struct Draw(Pcg64Mcg);
+struct ScenarioGenerator(Pcg64Mcg);
 
-impl Draw {
+impl ScenarioGenerator {
     fn between(&mut self, least: u64, most: u64) -> u64 {
         least + self.0.next_u64() % (most - least + 1)
     }
@@ -24,7 +24,7 @@
         self.between(1, n) == 1
     }
 
-    /// What one call meets that may come to nothing.
+    /// A call that fails or is slow.
     fn fault(&mut self) -> Call {
         match self.between(0, 8) {
             0 => Call::Reset,
@@ -34,16 +34,16 @@
             4 => Call::HeadOnly,
             5 => Call::CutInList,
             6 => Call::StalledInList,
-            7 => Call::CutInNumbers(self.between(1, 60)),
-            _ => Call::Late(self.between(50, 900)),
+            7 => Call::SplitInNumbers(self.between(1, 60)),
+            _ => Call::Delayed(self.between(50, 900)),
         }
     }
 
-    /// How a watch loses the report of the drain, or does not live to bring it.
+    /// A watch that loses the report of the drain, or ends or goes silent before it.
     fn lost_watch(&mut self) -> Call {
         match self.between(0, 3) {
-            0 => Call::EndedInPlaceOfReport(self.between(0, 400)),
-            1 => Call::ResetInPlaceOfReport(self.between(0, 400)),
+            0 => Call::EndedInsteadOfReport(self.between(0, 400)),
+            1 => Call::ResetInsteadOfReport(self.between(0, 400)),
             2 => Call::SilentAfterList,
             _ => Call::EndedAfterList(self.between(300, 2_500)),
         }
@@ -53,8 +53,8 @@
         let from = if self.one_in(3) { 0 } else { self.between(300, 3_000) };
         let until = from + self.between(300, 11_000);
         let call = if self.one_in(2) { Call::Reset } else { Call::RefusedAtOnce };
-        let calls = if from == 0 { vec![self.fault()] } else { vec![Call::Sound, self.fault()] };
-        let drain = until + self.between(0, DRAIN_WITHIN_MS);
+        let calls = if from == 0 { vec![self.fault()] } else { vec![Call::Normal, self.fault()] };
+        let drain = until + self.between(0, MAX_DRAIN_DELAY_MS);
         let scenario = Scenario::new(Mode::OnRequest, drain, &calls);
         Scenario { outage: Some(outage_of(from, until, call)), ..scenario }
     }
@@ -73,11 +73,12 @@
     fn reload(&mut self) -> Scenario {
         let reload_ms = self.between(800, 4_000);
         let at = Duration::from_millis(reload_ms);
-        let half = self.one_in(3).then(|| Duration::from_millis(self.between(100, 1_200)));
-        let mut reloads = vec![Reload { at, calls: vec![self.fault()], file_is_whole_after: half }];
-        if half.is_none() && self.one_in(2) {
+        let complete_after = self.one_in(3).then(|| Duration::from_millis(self.between(100, 1_200)));
+        let mut reloads =
+            vec![Reload { at, calls: vec![self.fault()], file_is_complete_after: complete_after }];
+        if complete_after.is_none() && self.one_in(2) {
             let at = at + Duration::from_millis(self.between(50, 1_000));
-            reloads.push(Reload { at, calls: vec![self.fault()], file_is_whole_after: None });
+            reloads.push(Reload { at, calls: vec![self.fault()], file_is_complete_after: None });
         }
         let is_down = self.one_in(2);
         let outage = outage_of(if is_down { 300 } else { NEVER_MS }, NEVER_MS, Call::Reset);
@@ -87,16 +88,16 @@
     }
 }
 
-/// The scenario of a seed.
+/// The scenario generated from a seed.
 pub fn scenario(seed: u64) -> Scenario {
-    let mut draw = Draw(Pcg64Mcg::seed_from_u64(seed));
-    let scenario = match draw.between(0, 3) {
-        0 => draw.outage(),
-        1 => draw.lost_report(),
-        2 => draw.pushed(),
-        _ => draw.reload(),
+    let mut generator = ScenarioGenerator(Pcg64Mcg::seed_from_u64(seed));
+    let scenario = match generator.between(0, 3) {
+        0 => generator.outage(),
+        1 => generator.lost_report(),
+        2 => generator.pushed(),
+        _ => generator.reload(),
     };
-    let turns_away = draw.one_in(4) && scenario.drain_at > Duration::from_secs(1);
-    let is_held_up = draw.one_in(2);
-    Scenario { seed, turns_away, is_held_up, ..scenario }
+    let rejects_parts = generator.one_in(4) && scenario.drain_at > Duration::from_secs(1);
+    let is_paused = generator.one_in(2);
+    Scenario { seed, rejects_parts, is_paused, ..scenario }
 }
--- a/tests/discovery_faults/fleet.rs
+++ b/tests/discovery_faults/fleet.rs
@@ -1,13 +1,14 @@
-//! Several brokers before one discovery that handles their calls in turn.
+//! Several brokers and one discovery that handles their calls one at a time.
 //!
-//! Discovery was down, and each broker was given four new configurations within 1.2 s around its return. Each broker
-//! called anew for each of them, and once more beside each call without an answer; discovery handled the calls that were
-//! given up too. So it wrote lists on calls that nobody waited on any more, while the brokers' next calls still stood in
-//! its queue, and brokers went on sending parts to a server that drained, dozens of them, for seconds after the grace.
-//! A staging run shows, of one broker, `24.312 discovery watch ended reason=status 503 ... age_ms=505 others=1`
-//! and in the same millisecond `... age_ms=5 others=0`, and then the list at `27.634`, 4.08 s after its watch ended. Here,
-//! before the mend, in three runs of two fleets, four to eight brokers of twelve sent 2 to 402 parts to the drained server
-//! after the grace.
+//! Guards against parts sent to a drained server while discovery works on abandoned calls. Discovery was
+//! down, and each broker got four new configurations within 1.2 s around its return. Each broker made a new
+//! call for each of them, and one more beside each unanswered call; discovery also handled the calls that
+//! were abandoned. It wrote lists on those while the brokers' next calls were still in its queue, and brokers
+//! sent dozens of parts to a server that drained, for seconds after the grace. A staging run shows, of one
+//! broker, `24.312 discovery watch ended reason=status 503 ... age_ms=505 others=1` and in the same
+//! millisecond `... age_ms=5 others=0`, and then the list at `27.634`, 4.08 s after its watch ended. Here,
+//! before the fix, in three runs of two fleets, four to eight brokers of twelve sent 2 to 402 parts to the
+//! drained server after the grace.
 
 use super::broker_process::BrokerProcess;
 use super::judge::{GRACE, Mode, SLACK};
@@ -18,26 +19,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Brokers, and the time that discovery takes for each call: one call of each broker takes 1.6 s together.
 const BROKERS: usize = 12;
+/// Time that discovery takes for each call: one call of each broker takes 1.6 s in total.
 const SERVICE_TIME: Duration = Duration::from_millis(130);
 const SERVERS: usize = 3;
 const DOWN_AT: Duration = Duration::from_millis(1500);
 const BACK_AT: Duration = Duration::from_millis(7500);
-/// The server drains as soon as discovery is back.
+/// The server drains right after discovery is back.
 const DRAIN_AT: Duration = Duration::from_millis(7550);
-/// Brokers get their first new configuration one after the other, and three more each.
+/// Brokers get their first new configuration one after another, and then three more each.
 const FIRST_RELOAD_AT: Duration = Duration::from_millis(6000);
-const BETWEEN_BROKERS: Duration = Duration::from_millis(300);
-const BETWEEN_RELOADS: Duration = Duration::from_millis(400);
-const RELOADS: u32 = 4;
+const BROKER_INTERVAL: Duration = Duration::from_millis(300);
+const RELOAD_INTERVAL: Duration = Duration::from_millis(400);
+const RELOADS_PER_BROKER: u32 = 4;
 const END_AT: Duration = Duration::from_secs(18);
-/// Time after which what discovery has counts as reported, once it can be reached.
-const REPORTED_AT_THE_LATEST: Duration = Duration::from_secs(6);
-/// How much slower the servers are that don't drain: the one that drains gets parts for as long as it may.
-const SLOWER_MS: u64 = 60;
+/// Time after which the list of a reachable discovery counts as reported.
+const MAX_REPORT_DELAY: Duration = Duration::from_secs(6);
+/// Delay of the servers that don't drain, ms: the draining server, which is faster, gets parts as long as it
+/// is used.
+const OTHER_SERVERS_DELAY_MS: u64 = 60;
 
-/// A broker with servers of its own, behind addresses that no other broker has.
+/// A broker with its own servers, which no other broker uses.
 struct Member {
     number: usize,
     script: NodeScript,
@@ -48,29 +50,29 @@
 impl Member {
     fn start(number: usize, seed: u64, discovery: &SharedDiscovery) -> Member {
         let script = NodeScript::default();
-        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(SLOWER_MS));
+        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(OTHER_SERVERS_DELAY_MS));
         let servers: Vec<SocketAddr> =
             (0..SERVERS).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
-        discovery.set_list(number, whole_list(&servers, false));
+        discovery.set_list(number, full_list(&servers, false));
         let process = BrokerProcess::start(&config(&servers, discovery.address_for(number), seed));
         Member { number, script, servers, process }
     }
 
-    /// Gives it new configurations, each of which moves discovery.
+    /// Gives the broker new configurations, each with another discovery address.
     fn reload_in_series(&self, started: Instant, seed: u64, discovery: &SharedDiscovery) {
-        let first = FIRST_RELOAD_AT + BETWEEN_BROKERS * self.number as u32;
-        for n in 0..RELOADS {
+        let first = FIRST_RELOAD_AT + BROKER_INTERVAL * self.number as u32;
+        for n in 0..RELOADS_PER_BROKER {
             let config = config(&self.servers, discovery.address_for(self.number), seed);
-            sleep_until(started + first + BETWEEN_RELOADS * n);
+            sleep_until(started + first + RELOAD_INTERVAL * n);
             self.process.write_config(&config);
             self.process.reload();
         }
     }
 
-    /// An error says how many parts came to the drained server after the grace.
-    fn judge(&self, started: Instant, discovery: &SharedDiscovery) -> Result<(), String> {
+    /// Returns an error with the number of parts that the drained server received after the grace, if any.
+    fn check(&self, started: Instant, discovery: &SharedDiscovery) -> Result<(), String> {
         let drained = started + DRAIN_AT;
-        let latest = drained + REPORTED_AT_THE_LATEST;
+        let latest = drained + MAX_REPORT_DELAY;
         let reported = discovery.written_since(self.number, drained).map_or(latest, |at| at.min(latest));
         let late: Vec<Instant> =
             self.script.receive_times(1).into_iter().filter(|at| *at > reported + GRACE + SLACK).collect();
@@ -92,10 +94,10 @@
         .replace("\"fleet_size\":1", &format!("\"fleet_size\":{BROKERS}"))
 }
 
-/// The whole list; it leaves out who drains.
-fn whole_list(servers: &[SocketAddr], is_drained: bool) -> String {
-    let named = servers.iter().enumerate().filter(|(n, _)| !(is_drained && *n == 1));
-    let lines: Vec<String> = named
+/// The full list; it leaves out a draining server.
+fn full_list(servers: &[SocketAddr], is_drained: bool) -> String {
+    let listed = servers.iter().enumerate().filter(|(n, _)| !(is_drained && *n == 1));
+    let lines: Vec<String> = listed
         .map(|(n, addr)| {
             format!(r#"{{"id":"s-{n}","addr":"{addr}","zone":"a","kind":"k","cell":{n},"state":"Ready"}}"#)
         })
@@ -104,8 +106,8 @@
     format!("{{\"version\":{version},\"full\":true,\"servers\":[{}]}}\n", lines.join(","))
 }
 
-/// Plays the fleet; an error has a line for each broker that broke the rule.
-fn play(seed: u64) -> Result<(), String> {
+/// Runs a fleet; the error has an entry for each broker that sent parts after the grace.
+fn run_fleet(seed: u64) -> Result<(), String> {
     let discovery = Arc::new(SharedDiscovery::start(BROKERS, SERVICE_TIME));
     let started = Instant::now();
     let members: Vec<Member> =
@@ -120,18 +122,24 @@
         sleep_until(started + BACK_AT);
         discovery.set_down(false);
         sleep_until(started + DRAIN_AT);
-        members.iter().for_each(|m| discovery.set_list(m.number, whole_list(&m.servers, true)));
+        members.iter().for_each(|m| discovery.set_list(m.number, full_list(&m.servers, true)));
     });
-    let faults: Vec<String> = members.iter().filter_map(|m| m.judge(started, &discovery).err()).collect();
-    if faults.is_empty() { Ok(()) } else { Err(faults.join("\n")) }
+    let failures: Vec<String> = members.iter().filter_map(|m| m.check(started, &discovery).err()).collect();
+    if failures.is_empty() { Ok(()) } else { Err(failures.join("\n")) }
 }
 
-/// Plays fleets of these seeds at once; fails with what broke the rule.
-pub fn judge_fleets(seeds: &[u64]) {
+/// Runs fleets with these seeds concurrently; panics with the errors of those that failed.
+pub fn check_fleets(seeds: &[u64]) {
     let outcomes: Vec<Result<(), String>> = std::thread::scope(|scope| {
-        let plays: Vec<_> = seeds.iter().map(|seed| scope.spawn(|| play(*seed))).collect();
-        plays.into_iter().map(|play| play.join().unwrap_or_else(|_| Err("the play ended".into()))).collect()
+        let runs: Vec<_> = seeds.iter().map(|seed| scope.spawn(|| run_fleet(*seed))).collect();
+        runs.into_iter().map(|run| run.join().unwrap_or_else(|_| Err("the run panicked".into()))).collect()
     });
-    let faults: Vec<String> = outcomes.into_iter().filter_map(Result::err).collect();
-    assert!(faults.is_empty(), "{} of {} fleets:\n{}", faults.len(), seeds.len(), faults.join("\n"));
+    let failures: Vec<String> = outcomes.into_iter().filter_map(Result::err).collect();
+    assert!(
+        failures.is_empty(),
+        "{} of {} fleets failed:\n{}",
+        failures.len(),
+        seeds.len(),
+        failures.join("\n")
+    );
 }
