--- a/tests/fronts/clients.rs
+++ b/tests/fronts/clients.rs
@@ -19,18 +19,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// All partitions, with the right contents in the right order.
-    Whole,
+    Complete,
     /// So many partitions, and it says so.
     Partial(usize),
     /// Refused, with or without the time to come back.
-    Refused { told_wait: bool },
+    Refused { retry_after: bool },
     /// Given up.
     Failed,
     /// Something was wrong with the request.
     Bad,
 }
 
-pub struct Served {
+pub struct TestBroker {
     pub wire: WireProtocol,
     pub addr: SocketAddr,
     pub script: NodeScript,
@@ -41,24 +41,24 @@
 pub const PARTITIONS: u32 = 3;
 
 /// Starts three nodes and a broker between them and clients of `wire`.
-pub fn serve(wire: WireProtocol, nodes: WireProtocol, max_open: u32) -> Served {
+pub fn start_broker(wire: WireProtocol, nodes: WireProtocol, max_open: u32) -> TestBroker {
     let script = NodeScript::default();
     let nodes: Vec<(SocketAddr, WireProtocol)> =
         (0..3).map(|n| (node(nodes, n, script.clone()), nodes)).collect();
-    serve_with(wire, &nodes, max_open, script)
+    start_broker_with_nodes(wire, &nodes, max_open, script)
 }
 
-pub fn serve_with(
+pub fn start_broker_with_nodes(
     wire: WireProtocol,
     nodes: &[(SocketAddr, WireProtocol)],
     max_open: u32,
     script: NodeScript,
-) -> Served {
+) -> TestBroker {
     if wire == WireProtocol::Http {
-        return serve_told(&platform_config(nodes, max_open, None), script);
+        return start_platform_broker(&platform_config(nodes, max_open, None), script);
     }
     let (tell, told) = mpsc::channel();
-    let operator = told_operator(nodes, max_open);
+    let operator = operator_config(nodes, max_open);
     let thread = std::thread::spawn(move || {
         let (mut broker, addrs) = catalogue::broker(operator).unwrap();
         let addr = addrs[usize::from(wire == WireProtocol::Z3950)];
@@ -66,11 +66,11 @@
         broker.run().unwrap();
     });
     let (addr, waker) = told.recv().unwrap();
-    Served { wire, addr, script, waker, thread }
+    TestBroker { wire, addr, script, waker, thread }
 }
 
 /// A broker on the platform with this configuration.
-pub fn serve_told(config: &str, script: NodeScript) -> Served {
+pub fn start_platform_broker(config: &str, script: NodeScript) -> TestBroker {
     let (tell, told) = mpsc::channel();
     let config = PlatformConfig::read(config, |_| None).unwrap();
     let thread = std::thread::spawn(move || {
@@ -79,14 +79,14 @@
         broker.run().unwrap();
     });
     let (addr, waker) = told.recv().unwrap();
-    Served { wire: WireProtocol::Http, addr, script, waker, thread }
+    TestBroker { wire: WireProtocol::Http, addr, script, waker, thread }
 }
 
 /// Classes alike on both fronts: `whole` needs all parts, `most` two of three, `short` has little time.
 const CLASSES: [(&str, u64, u64, f64); 3] =
     [("whole", 8000, 20_000, 1.0), ("most", 3000, 20_000, 0.6), ("short", 600, 1500, 1.0)];
 
-fn told_operator(nodes: &[(SocketAddr, WireProtocol)], max_open: u32) -> OperatorConfig {
+fn operator_config(nodes: &[(SocketAddr, WireProtocol)], max_open: u32) -> OperatorConfig {
     let mut text = format!(
         "name = \"test\"\nzone = \"a\"\n[limits]\nmax_open = {max_open}\nsockets = 96\npage = 2\n[partitions]\ncount = {PARTITIONS}\n\
          cells = 3\nholders = 2\ndatabase = \"part-{{partition}}\"\nkey_index = \"music.compositionid\"\n"
@@ -137,12 +137,12 @@
     )
 }
 
-impl Served {
+impl TestBroker {
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.addr).unwrap();
         // Only a hang is caught by this; no test leans on it.
         stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
-        let mut client = Client { wire: self.wire, stream, asked: 0 };
+        let mut client = Client { wire: self.wire, stream, queries_sent: 0 };
         if self.wire == WireProtocol::Z3950 {
             client.write(
                 &Apdu::InitRequest(InitRequest {
@@ -160,8 +160,8 @@
         client
     }
 
-    pub fn ask(&self, class: &str) -> Reply {
-        self.client().ask(class)
+    pub fn query(&self, class: &str) -> Reply {
+        self.client().query(class)
     }
 
     /// Waits until so many parts have come to the nodes.
@@ -183,7 +183,7 @@
 pub struct Client {
     pub wire: WireProtocol,
     pub stream: TcpStream,
-    asked: u32,
+    queries_sent: u32,
 }
 
 impl Client {
@@ -191,14 +191,14 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    pub fn ask(&mut self, class: &str) -> Reply {
+    pub fn query(&mut self, class: &str) -> Reply {
         self.send(class, "raga");
         self.reply()
     }
 
     /// Whether the connection stays open behind one more answer.
-    pub fn asks_on(&mut self) -> bool {
-        self.ask("whole") == Reply::Whole && {
+    pub fn stays_open_after_query(&mut self) -> bool {
+        self.query("whole") == Reply::Complete && {
             self.stream.set_nonblocking(true).unwrap();
             let quiet = self.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
             self.stream.set_nonblocking(false).unwrap();
@@ -208,8 +208,8 @@
 
     /// Sends a query; an empty term makes it a bad one.
     pub fn send(&mut self, class: &str, term: &str) {
-        self.asked += 1;
-        let (n, port) = (self.asked, self.stream.local_addr().unwrap().port());
+        self.queries_sent += 1;
+        let (n, port) = (self.queries_sent, self.stream.local_addr().unwrap().port());
         let message = match self.wire {
             WireProtocol::Http => {
                 let part = |s: u32| format!(r#"{{"segment":{s},"boost":0.3333333,"work":1000}}"#);
@@ -260,11 +260,11 @@
         let Some(Apdu::SearchResponse(r)) = read_apdu(&mut self.stream) else {
             panic!("no answer to a search")
         };
-        assert_eq!(r.reference, Some(self.asked.to_be_bytes().into()));
+        assert_eq!(r.reference, Some(self.queries_sent.to_be_bytes().into()));
         let partial = match r.records {
             Records::Diagnostic(d) => match d.condition {
                 Condition::TemporarilyUnavailable => {
-                    return Reply::Refused { told_wait: d.details.contains("after") };
+                    return Reply::Refused { retry_after: d.details.contains("after") };
                 }
                 Condition::OutOfTime => return Reply::Failed,
                 Condition::PartialResult if r.set_status == Some(1) => true,
@@ -290,11 +290,11 @@
             Retrieved::Record { bytes, .. } => Record::from_iso2709(&bytes).unwrap(),
             Retrieved::Diagnostic(d) => panic!("{d}"),
         };
-        judge(found.into_iter().map(record).collect(), partial)
+        check_records(found.into_iter().map(record).collect(), partial)
     }
 
     /// True once the broker has ended the connection; on the way an open session must be told so.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn closed_by_broker(&mut self) -> bool {
         use std::io::Read;
         if self.wire == WireProtocol::Z3950 {
             assert!(
@@ -313,7 +313,7 @@
 fn refused(head: &str) -> Reply {
     let wait = head.lines().find_map(|l| l.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
     assert!(wait.is_none_or(|w| w <= 2.0), "the settings cap the wait");
-    Reply::Refused { told_wait: wait.is_some() }
+    Reply::Refused { retry_after: wait.is_some() }
 }
 
 fn reply_http(head: &str, body: &str) -> Reply {
@@ -335,7 +335,7 @@
     match body["all_in"].as_bool().unwrap() {
         true => {
             assert_eq!(matches.len(), PARTITIONS as usize);
-            Reply::Whole
+            Reply::Complete
         }
         false => Reply::Partial(matches.len()),
     }
@@ -358,11 +358,11 @@
         sru::Item::Record(r) => r,
         sru::Item::Diagnostic(d) => panic!("{d}"),
     };
-    judge(r.items.into_iter().map(record).collect(), partial)
+    check_records(r.items.into_iter().map(record).collect(), partial)
 }
 
 /// Records must be as the nodes have them, partition after partition.
-fn judge(found: Vec<Record>, partial: bool) -> Reply {
+fn check_records(found: Vec<Record>, partial: bool) -> Reply {
     let all = (0..PARTITIONS).flat_map(|p| (1..=RECORDS_PER_PARTITION).map(move |n| record(p, n)));
     let name = |r: &Record| match &r.fields[0] {
         Field::Control { value, .. } => value.clone(),
@@ -375,6 +375,6 @@
         Reply::Partial(partitions)
     } else {
         assert_eq!(partitions, PARTITIONS as usize);
-        Reply::Whole
+        Reply::Complete
     }
 }
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -29,22 +29,22 @@
 }
 
 const ALL: &[usize] = &[0, 1, 2];
-const REFUSED: Reply = Reply::Refused { told_wait: true };
+const REFUSED: Reply = Reply::Refused { retry_after: true };
 
 for_each_pairing! {
     fn a_whole_answer_has_every_part_in_order(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut client = s.client();
         for _ in 0..3 {
-            assert_eq!(client.ask("whole"), Reply::Whole);
+            assert_eq!(client.query("whole"), Reply::Complete);
         }
     }
 
     fn a_part_is_tried_elsewhere_when_a_node_fails_it(wire, nodes) {
         for act in [Behaviour::Fail, Behaviour::Reject, Behaviour::CloseConnection] {
-            let s = serve(wire, nodes, 100);
+            let s = start_broker(wire, nodes, 100);
             s.script.set(&[1], &[0, 1, 2], act);
-            assert_eq!(s.ask("whole"), Reply::Whole, "{act:?}");
+            assert_eq!(s.query("whole"), Reply::Complete, "{act:?}");
         }
     }
 
@@ -52,98 +52,98 @@
         let script = NodeScript::default();
         let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let alive = |n| (node(nodes, n, script.clone()), nodes);
-        let s = serve_with(wire, &[(closed, nodes), alive(1), alive(2)], 100, script.clone());
+        let s = start_broker_with_nodes(wire, &[(closed, nodes), alive(1), alive(2)], 100, script.clone());
         for _ in 0..4 {
-            assert_eq!(s.ask("whole"), Reply::Whole);
+            assert_eq!(s.query("whole"), Reply::Complete);
         }
     }
 
     fn an_answer_from_the_floor_up_is_given_and_says_that_it_is_partial(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[1], Behaviour::Silent);
-        assert_eq!(s.ask("most"), Reply::Partial(2));
+        assert_eq!(s.query("most"), Reply::Partial(2));
     }
 
     fn no_answer_is_given_from_under_the_floor(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[1, 2], Behaviour::Silent);
-        assert_eq!(s.ask("most"), REFUSED);
-        let whole = serve(wire, nodes, 100);
+        assert_eq!(s.query("most"), REFUSED);
+        let whole = start_broker(wire, nodes, 100);
         whole.script.set(ALL, &[1], Behaviour::Silent);
-        assert!(matches!(whole.ask("short"), Reply::Refused { .. } | Reply::Failed));
+        assert!(matches!(whole.query("short"), Reply::Refused { .. } | Reply::Failed));
     }
 
     fn a_query_that_no_replica_can_serve_is_refused_at_once_with_a_wait(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[2], Behaviour::Fail);
         let start = std::time::Instant::now();
-        assert_eq!(s.ask("whole"), REFUSED);
+        assert_eq!(s.query("whole"), REFUSED);
         // Its class has 20 s; three failed attempts take milliseconds.
         assert!(start.elapsed().as_secs() < 15);
     }
 
     fn silent_nodes_lead_to_one_final_answer_and_the_connection_lives_on(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[0, 1, 2], Behaviour::Silent);
         let mut client = s.client();
-        assert!(matches!(client.ask("short"), Reply::Refused { .. } | Reply::Failed));
+        assert!(matches!(client.query("short"), Reply::Refused { .. } | Reply::Failed));
         s.script.set(ALL, &[0, 1, 2], Behaviour::Serve);
         // The nodes' connections that hold silent parts are busy or given up; the next answer is the next query's.
-        let again = (0..20).find(|_| client.ask("whole") == Reply::Whole);
+        let again = (0..20).find(|_| client.query("whole") == Reply::Complete);
         assert!(again.is_some());
     }
 
     fn over_max_open_a_query_is_refused_and_a_client_that_goes_frees_its_place(wire, nodes) {
-        let s = serve(wire, nodes, 1 + PARTITIONS);
+        let s = start_broker(wire, nodes, 1 + PARTITIONS);
         s.script.set(ALL, &[0], Behaviour::Delayed(5000));
         let mut first = s.client();
         first.send("whole", "raga");
         s.wait_for_parts(3);
-        assert_eq!(s.ask("whole"), REFUSED);
+        assert_eq!(s.query("whole"), REFUSED);
         s.script.set(ALL, &[0], Behaviour::Serve);
         drop(first);
         let served = (0..2000).any(|_| {
             std::thread::sleep(std::time::Duration::from_millis(5));
-            s.ask("whole") == Reply::Whole
+            s.query("whole") == Reply::Complete
         });
         assert!(served, "the place of the client that went is free");
     }
 
     fn bad_requests_are_told_so_and_the_connection_lives_on(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut client = s.client();
         client.send("whole", "");
         assert_eq!(client.reply(), Reply::Bad);
-        assert_eq!(client.ask("whole"), Reply::Whole);
+        assert_eq!(client.query("whole"), Reply::Complete);
     }
 
     fn garbage_closes_its_own_connection_alone(wire, nodes) {
         use std::io::Read;
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut good = s.client();
         let mut bad = TcpStream::connect(s.addr).unwrap();
         std::io::Write::write_all(&mut bad, &[0x00, 0xff, 0x13, 0x0a, 0x0d, 0x0a, 0x00, 0x00]).unwrap();
         let mut rest = Vec::new();
         let _ = bad.read_to_end(&mut rest);
         assert!(rest.is_empty() || rest.starts_with(b"HTTP/1.1 400"), "{rest:?}");
-        assert_eq!(good.ask("whole"), Reply::Whole);
+        assert_eq!(good.query("whole"), Reply::Complete);
     }
 
     fn a_crowd_that_says_nothing_keeps_nobody_out(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut first = s.client();
-        assert_eq!(first.ask("whole"), Reply::Whole);
+        assert_eq!(first.query("whole"), Reply::Complete);
         // More than there are places on either port.
         let crowd: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(s.addr).unwrap()).collect();
-        assert_eq!(s.ask("whole"), Reply::Whole);
+        assert_eq!(s.query("whole"), Reply::Complete);
         // Whoever has asked before keeps its place.
-        assert_eq!(first.ask("whole"), Reply::Whole);
+        assert_eq!(first.query("whole"), Reply::Complete);
         drop(crowd);
     }
 
     fn half_a_request_is_told_so_and_ends_its_connection(wire, nodes) {
         use std::io::Read;
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut bad = TcpStream::connect(s.addr).unwrap();
         let half: &[u8] = if wire == WireProtocol::Z3950 { &[0xb4, 0x20, 0x83] } else { b"POST /api HTTP/1.1\r\nContent-Le" };
         std::io::Write::write_all(&mut bad, half).unwrap();
@@ -155,19 +155,19 @@
     fn who_is_connected_is_served_on_for_a_while_after_the_word_to_end(wire, nodes) {
         // A machine so busy that a second goes by between two lines may need another try.
         let served = (0..10).any(|_| {
-            let s = serve(wire, nodes, 100);
+            let s = start_broker(wire, nodes, 100);
             let mut c = s.client();
-            assert_eq!(c.ask("whole"), Reply::Whole);
+            assert_eq!(c.query("whole"), Reply::Complete);
             s.drain();
-            c.asks_on() && c.asks_on()
+            c.stays_open_after_query() && c.stays_open_after_query()
         });
         assert!(served);
     }
 
     fn a_drain_finishes_what_was_taken_ends_idle_connections_and_ends(wire, nodes) {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let (mut idle, mut busy) = (s.client(), s.client());
-        assert_eq!(idle.ask("whole"), Reply::Whole);
+        assert_eq!(idle.query("whole"), Reply::Complete);
         let before = s.script.parts_received();
         s.script.set(ALL, &[0, 1, 2], Behaviour::Delayed(300));
         busy.send("whole", "raga");
@@ -178,9 +178,9 @@
             let answer = read_apdu(&mut busy.stream);
             assert!(matches!(answer, Some(pebbleturn::frontends::catalogue::apdu::Apdu::SearchResponse(r)) if r.success));
         } else {
-            assert_eq!(busy.reply(), Reply::Whole);
+            assert_eq!(busy.reply(), Reply::Complete);
         }
-        assert!(busy.is_ended() && idle.is_ended());
+        assert!(busy.closed_by_broker() && idle.closed_by_broker());
         let addr = s.addr;
         s.join();
         assert!(TcpStream::connect(addr).is_err(), "nobody listens after the end");
--- a/tests/fronts/protocols.rs
+++ b/tests/fronts/protocols.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn result_sets_are_named_bounded_refetched_and_deleted() {
-    let s = serve(WireProtocol::Z3950, WireProtocol::Sru, 100);
+    let s = start_broker(WireProtocol::Z3950, WireProtocol::Sru, 100);
     let mut c = s.client();
     let found = ask(&mut c, Apdu::SearchRequest(search("a", title("raga"))));
     assert!(matches!(&found, Apdu::SearchResponse(r) if r.success && r.count == 9));
@@ -96,7 +96,7 @@
 
 #[test]
 fn small_sets_bring_their_records_along() {
-    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
+    let s = start_broker(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     for (small, large, medium, expected) in [(9, 10, 0, 9), (8, 9, 5, 0), (1, 100, 4, 4)] {
         let r = SearchRequest {
@@ -112,7 +112,7 @@
 
 #[test]
 fn searches_that_can_t_be_understood_meet_the_standard_numbers() {
-    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
+    let s = start_broker(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     let unknown = SearchRequest { databases: vec!["nowhere".into()], ..search("a", title("raga")) };
     let two = SearchRequest { databases: vec!["whole".into(), "most".into()], ..search("a", title("raga")) };
@@ -134,7 +134,7 @@
 
 #[test]
 fn services_that_were_not_agreed_on_are_answered_and_a_close_is_returned() {
-    let s = serve(WireProtocol::Z3950, WireProtocol::Z3950, 100);
+    let s = start_broker(WireProtocol::Z3950, WireProtocol::Z3950, 100);
     let mut c = s.client();
     for (request, response) in [(35, 36), (43, 44), (46, 47)] {
         let answer = ask(&mut c, Apdu::Other { reference: Some(vec![9]), tag: request });
@@ -153,7 +153,7 @@
     assert_eq!(raw.read(&mut [0]).unwrap(), 0);
 }
 
-fn get(s: &Served, target: &str) -> (String, String) {
+fn get(s: &TestBroker, target: &str) -> (String, String) {
     let mut stream = TcpStream::connect(s.addr).unwrap();
     write!(stream, "GET {target} HTTP/1.1\r\nHost: shop:8210\r\n\r\n").unwrap();
     read_http(&mut stream).expect("an answer")
@@ -161,7 +161,7 @@
 
 #[test]
 fn sru_pages_explains_and_meets_bad_requests() {
-    let s = serve(WireProtocol::Sru, WireProtocol::Z3950, 100);
+    let s = start_broker(WireProtocol::Sru, WireProtocol::Z3950, 100);
     let base = "/whole?version=1.2&operation=searchRetrieve&query=raga";
     let (_, body) = get(&s, &format!("{base}&startRecord=3&maximumRecords=2"));
     let r = sru::read_response(body.as_bytes()).unwrap();
@@ -193,7 +193,7 @@
 #[test]
 fn a_composition_key_narrows_a_search_to_its_partitions() {
     for wire in [WireProtocol::Sru, WireProtocol::Z3950] {
-        let s = serve(wire, WireProtocol::Sru, 100);
+        let s = start_broker(wire, WireProtocol::Sru, 100);
         let key = Clause::new(5030, "k-17");
         let partition = plan::partitions(PARTITIONS, 1, Some(plan::key_hash("k-17")))[0];
         // Were another partition asked, there would be no whole answer.
@@ -219,7 +219,7 @@
 
 #[test]
 fn the_platform_s_port_answers_bad_requests_by_status() {
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
     let send = |text: &str| {
         let mut stream = TcpStream::connect(s.addr).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
@@ -269,14 +269,14 @@
         let nodes: Vec<_> = (0..3)
             .map(|n| (node_silent_at_first(n, script.clone(), first.clone()), WireProtocol::Http))
             .collect();
-        let s = serve_with(WireProtocol::Http, &nodes, 100, script);
+        let s = start_broker_with_nodes(WireProtocol::Http, &nodes, 100, script);
         let mut client = s.client();
         let start = std::time::Instant::now();
         // Six connections that swallow all: no answer comes before new ones are dialled. The aim is 0.6 s, and
         // a connection that is closed for its silence is so after 4 s.
         let served = (0..60).any(|_| {
             std::thread::sleep(Duration::from_millis(100));
-            client.ask("short") == Reply::Whole
+            client.query("short") == Reply::Complete
         });
         served && start.elapsed() < Duration::from_millis(3500)
     });
@@ -298,8 +298,8 @@
             write!(stream, "{:x}\r\n{line}\r\n", line.len()).ok()?;
         }
     });
-    let s = serve_told(&platform_config(&nodes, 100, Some(discovery)), script.clone());
-    assert_eq!(s.ask("whole"), Reply::Whole);
+    let s = start_platform_broker(&platform_config(&nodes, 100, Some(discovery)), script.clone());
+    assert_eq!(s.query("whole"), Reply::Complete);
     let line = |n: usize, addr, state| {
         format!(
             r#"{{"version":8,"full":false,"servers":[{{"id":"s-{n}","addr":"{addr}","zone":"a","cell":{n},"state":"{state}"}}]}}"#
@@ -312,7 +312,7 @@
     let moved = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
         s.script.set(&[1, 2, 9], &[1], Behaviour::Fail);
-        s.ask("whole") == Reply::Whole && (0..20).all(|_| s.ask("whole") == Reply::Whole)
+        s.query("whole") == Reply::Complete && (0..20).all(|_| s.query("whole") == Reply::Complete)
     });
     assert!(moved);
     assert_eq!(s.script.parts_received_by(9), 0, "a node that drains gets nothing new");
@@ -329,7 +329,7 @@
 
 #[test]
 fn queries_that_are_none_get_400_and_are_not_passed_on() {
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
     let mut c = s.client();
     let segments = |parts: &[(&str, &str)]| {
         let one = |(s, b): &(&str, &str)| format!(r#"{{"segment":{s},"boost":{b}}}"#);
@@ -360,25 +360,28 @@
 
 #[test]
 fn clients_that_ask_once_and_stay_make_room_for_those_that_come_next() {
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
     // A quarter of the 96 descriptors.
     let mut stay: Vec<Client> = (0..24).map(|_| s.client()).collect();
     for client in &mut stay {
-        assert_eq!(client.ask("whole"), Reply::Whole);
+        assert_eq!(client.query("whole"), Reply::Complete);
     }
-    assert_eq!(stay[0].ask("whole"), Reply::Whole, "as many may stay");
-    assert_eq!(s.client().ask("whole"), Reply::Whole);
+    assert_eq!(stay[0].query("whole"), Reply::Complete, "as many may stay");
+    assert_eq!(s.client().query("whole"), Reply::Complete);
     // Whoever stays idle is closed after 60 s; this is for the others' sake.
     let before = std::time::Instant::now();
-    assert!(stay[1].is_ended() && before.elapsed().as_secs() < 40, "the one idle for longest goes at once");
-    assert_eq!(stay[0].ask("whole"), Reply::Whole);
-    assert_eq!(stay[2].ask("whole"), Reply::Whole);
+    assert!(
+        stay[1].closed_by_broker() && before.elapsed().as_secs() < 40,
+        "the one idle for longest goes at once"
+    );
+    assert_eq!(stay[0].query("whole"), Reply::Complete);
+    assert_eq!(stay[2].query("whole"), Reply::Complete);
 }
 
 #[test]
 fn a_body_that_is_too_large_is_refused_while_it_is_still_coming() {
     for (wire, nodes) in [(WireProtocol::Http, WireProtocol::Http), (WireProtocol::Sru, WireProtocol::Sru)] {
-        let s = serve(wire, nodes, 100);
+        let s = start_broker(wire, nodes, 100);
         let mut c = TcpStream::connect(s.addr).unwrap();
         c.write_all(b"POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n").unwrap();
         // What is sent after the answer is not what is tested here; the client may be cut off.
@@ -392,11 +395,11 @@
 #[test]
 fn a_spoilt_answer_ends_its_connection_at_once_and_its_part_is_served_elsewhere() {
     for act in [Behaviour::Garbage, Behaviour::Truncated, Behaviour::UnknownQuery, Behaviour::Duplicate] {
-        let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+        let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
         s.script.set(&[1], &[0, 1, 2], act);
         let mut c = s.client();
         while s.script.parts_received_by(1) == 0 {
-            assert_eq!(c.ask("whole"), Reply::Whole, "{act:?}");
+            assert_eq!(c.query("whole"), Reply::Complete, "{act:?}");
         }
         // An idle connection would stand for 27 s.
         let ended = (0..1000).any(|_| {
@@ -409,7 +412,7 @@
 
 #[test]
 fn the_id_of_another_query_gets_an_answer_of_its_own_and_harms_neither() {
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
     s.script.set(&[0, 1, 2], &[0], Behaviour::Delayed(500));
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"t"}"#;
     let same = query("same", "Req-Deadline: 20000m\r\n", body);
@@ -423,11 +426,11 @@
     assert!(head.starts_with("HTTP/1.1 200") && body.contains("value <0>"), "{head}{body}");
     second.write(same.as_bytes());
     assert!(read_http(&mut second.stream).unwrap().0.starts_with("HTTP/1.1 409"));
-    assert_eq!(second.ask("whole"), Reply::Whole);
+    assert_eq!(second.query("whole"), Reply::Complete);
 }
 
 /// A broker whose 96 descriptors leave 32 for connections to its 40 servers, each the one holder of its partition.
-fn serve_wide(act: Behaviour) -> Served {
+fn serve_wide(act: Behaviour) -> TestBroker {
     const NODES: usize = 40;
     let script = NodeScript::default();
     script.set(&(0..NODES).collect::<Vec<_>>(), &(0..NODES as u32).collect::<Vec<_>>(), act);
@@ -435,7 +438,7 @@
         (0..NODES).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let told = platform_config(&nodes, 100, None);
     let told = told.replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":40,"slices":40,"span":1"#);
-    serve_told(&told, script)
+    start_platform_broker(&told, script)
 }
 
 /// Asks for these partitions; gives the first line and the headers of the answer.
@@ -476,19 +479,19 @@
 #[test]
 fn whoever_asks_while_all_places_are_taken_gets_a_whole_answer() {
     // 96 descriptors leave 32 places for clients, and up to 16 more for a moment.
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 1000);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 1000);
     s.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(1000));
     let mut clients: Vec<Client> = (0..70).map(|_| s.client()).collect();
     clients.iter_mut().for_each(|c| c.send("whole", "raga"));
     let replies: Vec<Reply> = clients.iter_mut().map(Client::reply).collect();
-    let whole = replies.iter().filter(|r| **r == Reply::Whole).count();
+    let whole = replies.iter().filter(|r| **r == Reply::Complete).count();
     let refused = replies.iter().filter(|r| matches!(r, Reply::Refused { .. })).count();
     assert!(whole >= 32 && whole + refused == 70, "{replies:?}");
 }
 
 #[test]
 fn who_has_to_go_before_it_has_asked_is_told_when_to_come_back() {
-    let s = serve(WireProtocol::Http, WireProtocol::Http, 100);
+    let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
     let mut first = TcpStream::connect(s.addr).unwrap();
     let crowd: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(s.addr).unwrap()).collect();
     let (head, _) = read_http(&mut first).unwrap();
--- a/tests/races/bed.rs
+++ b/tests/races/bed.rs
@@ -78,7 +78,7 @@
 
 /// A broker with one shard, which all these servers hold, a long dial time-out, an idle time-out of one
 /// second for its connections, and this effect for its classes.
-pub fn serve_shard(servers: &[SocketAddr], discovery: SocketAddr, effect: &str) -> Served {
+pub fn serve_shard(servers: &[SocketAddr], discovery: SocketAddr, effect: &str) -> TestBroker {
     let nodes: Vec<_> = servers.iter().map(|a| (*a, WireProtocol::Http)).collect();
     let config = platform_config(&nodes, 100, Some(discovery))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":2,"slices":1,"span":2"#)
@@ -87,15 +87,15 @@
             r#""try_limit":3,"dial_timeout_ns":15000000000,"conn_idle_ns":1000000000,"#,
         )
         .replace(r#""effect":"safe""#, effect);
-    serve_told(&config, NodeScript::default())
+    start_platform_broker(&config, NodeScript::default())
 }
 
 /// Sends a query for the shard without reading its answer.
-pub fn send(s: &Served, id: &str) -> Client {
+pub fn send(s: &TestBroker, id: &str) -> Client {
     send_for(s, 0, id, 15_000)
 }
 
-pub fn send_for(s: &Served, shard: u32, id: &str, ms: u64) -> Client {
+pub fn send_for(s: &TestBroker, shard: u32, id: &str, ms: u64) -> Client {
     let mut c = s.client();
     c.write(request_within(shard, id, ms, "").as_bytes());
     c
@@ -120,7 +120,7 @@
 }
 
 /// Returns once the broker has handled all events before this call: two health checks in sequence show that.
-pub fn wait_for_event_loop(s: &Served) {
+pub fn wait_for_event_loop(s: &TestBroker) {
     for _ in 0..2 {
         let mut c = s.client();
         write!(c.stream, "GET /-/healthy HTTP/1.1\r\n\r\n").unwrap();
@@ -155,20 +155,20 @@
 }
 
 /// A broker with two shards, each held by one of these servers, with few buffers and a long dial time-out.
-pub fn serve_two_shards(servers: &[SocketAddr; 2], cancel: bool) -> Served {
+pub fn serve_two_shards(servers: &[SocketAddr; 2], cancel: bool) -> TestBroker {
     let nodes: Vec<_> = servers.iter().map(|a| (*a, WireProtocol::Http)).collect();
     let config = platform_config(&nodes, 1000, Some(idle_discovery()))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":2,"slices":2,"span":1"#)
         .replace(r#""sockets":96"#, r#""sockets":512,"memory_mb":16"#)
         .replace(r#""cancel":true"#, &format!(r#""cancel":{cancel},"dial_timeout_ns":15000000000"#));
-    serve_told(&config, NodeScript::default())
+    start_platform_broker(&config, NodeScript::default())
 }
 
 /// A client sends a query, runs `before_disconnect`, and disconnects while its call waits for a dial. Only
 /// the query of another client, which stays connected, may reach the server.
 pub fn check_only_connected_client_is_forwarded(
     cancel: bool,
-    before_disconnect: impl Fn(&Served, &mut Client),
+    before_disconnect: impl Fn(&TestBroker, &mut Client),
 ) {
     let server = BlockedListener::new();
     let s = serve_two_shards(&[server.addr, server.addr], cancel);
--- a/tests/races/dials.rs
+++ b/tests/races/dials.rs
@@ -42,7 +42,7 @@
             r#""try_limit":3,"dial_timeout_ns":15000000000,"conn_idle_ns":1000000000,"#,
         )
         .replace(r#""effect":"safe""#, keyed);
-    let s = serve_told(&config, NodeScript::default());
+    let s = start_platform_broker(&config, NodeScript::default());
     let mut asked = send(&s, "asked");
     let (mut begun, _) = first.accept().unwrap();
     assert_eq!(frame(&mut begun).unwrap()[0], b'R');
--- a/tests/races/ending.rs
+++ b/tests/races/ending.rs
@@ -16,13 +16,13 @@
 const REQUEST_START: Duration = Duration::from_secs(1);
 
 /// A broker with one shard, and the listener of its server; the test answers the calls.
-fn serve_with_manual_server() -> (Served, TcpListener) {
+fn serve_with_manual_server() -> (TestBroker, TcpListener) {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr: SocketAddr = server.local_addr().unwrap();
     let config = platform_config(&[(addr, WireProtocol::Http)], 100, Some(idle_discovery()))
         .replace(r#""positions":3,"slices":3,"span":2"#, r#""positions":1,"slices":1,"span":1"#)
         .replace(r#""goal_time_ns":600000000"#, r#""goal_time_ns":3000000000"#);
-    (serve_told(&config, NodeScript::default()), server)
+    (start_platform_broker(&config, NodeScript::default()), server)
 }
 
 fn accept_connection(server: &TcpListener) -> TcpStream {
@@ -34,7 +34,7 @@
 
 /// An idle client, whose query was answered after the server took `processing_time`.
 fn idle_client(
-    s: &Served,
+    s: &TestBroker,
     server: &mut Option<TcpStream>,
     listener: &TcpListener,
     id: &str,
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -37,7 +37,7 @@
         (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (discovery, watches) = manual_discovery();
     let config = platform_config(&nodes, 100, Some(discovery)).replace("on_request", "pushed");
-    let s = serve_told(&config, script.clone());
+    let s = start_platform_broker(&config, script.clone());
     // The first watch is cut before the first byte of its response, the second within a line; the third stays
     // open.
     drop(watches.recv_timeout(HANG_TIMEOUT).expect("no watch at the start"));
@@ -62,11 +62,11 @@
 }
 
 /// Whether the broker stops sending to node 1, although no other node serves partition 1.
-fn applies_drain(s: &Served) -> bool {
+fn applies_drain(s: &TestBroker) -> bool {
     s.script.set(&[2], &[1], Behaviour::Fail);
     (0..2000).any(|_| {
         let before = s.script.parts_received_by(1);
-        s.ask("whole") != Reply::Whole && s.script.parts_received_by(1) == before
+        s.query("whole") != Reply::Complete && s.script.parts_received_by(1) == before
     })
 }
 
@@ -78,7 +78,7 @@
         let nodes: Vec<_> =
             (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
         let (discovery, watches) = manual_discovery();
-        let s = serve_told(&platform_config(&nodes, 100, Some(discovery)), script);
+        let s = start_platform_broker(&platform_config(&nodes, 100, Some(discovery)), script);
         let (_, mut watch) = watches.recv_timeout(HANG_TIMEOUT).expect("no watch");
         begin(&mut watch);
         chunk(&mut watch, "\n");
@@ -99,7 +99,7 @@
     let nodes: Vec<_> =
         (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let (discovery, watches) = manual_discovery();
-    let s = serve_told(&platform_config(&nodes, 100, Some(discovery)), script);
+    let s = start_platform_broker(&platform_config(&nodes, 100, Some(discovery)), script);
     let (_, mut watch) = watches.recv_timeout(HANG_TIMEOUT).expect("no watch");
     begin(&mut watch);
     chunk(&mut watch, "\n");
@@ -126,7 +126,7 @@
     let (discovery, watches) = manual_discovery();
     let config = platform_config(&nodes, 100, Some(discovery))
         .replace(r#""must_ask_in_ns":10000000000"#, r#""must_ask_in_ns":120000000000"#);
-    let s = serve_told(&config, script);
+    let s = start_platform_broker(&config, script);
     // The first call begins at a time within the first twentieth of the two minutes.
     let (_, mut silent) = watches.recv_timeout(HANG_TIMEOUT).expect("no watch");
     begin(&mut silent);
--- a/tests/races/settings.rs
+++ b/tests/races/settings.rs
@@ -13,7 +13,7 @@
         (0..3).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let tenants = r#""over_share_worth":-30.0,"tenants":[{"name":"small","quota_per_s":0.000001},{"name":"large","quota_per_s":1000.0}],"tick_ns""#;
     let config = platform_config(&nodes, 100, None).replace(r#""tick_ns""#, tenants);
-    let s = serve_told(&config, script);
+    let s = start_platform_broker(&config, script);
     let ask = |n: usize, owner: &str| {
         let mut c = s.client();
         let body = r#"{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"t"}"#;
