--- a/tests/fronts/clients.rs
+++ b/tests/fronts/clients.rs
@@ -1,4 +1,5 @@
-//! A broker in a thread of its own, and clients of all three protocols that see its answers alike.
+//! A broker that runs in its own thread, and clients of all three protocols that map every answer to the same
+//! [`Reply`].
 
 use pebbleturn::config::{OperatorConfig, PlatformConfig};
 use pebbleturn::frontends::catalogue::apdu::*;
@@ -15,18 +16,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// What a client comes to know.
+/// What a client learns from an answer, whatever its protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// All partitions, with the right contents in the right order.
+    /// All partitions, with the expected contents in the expected order.
     Complete,
-    /// So many partitions, and it says so.
+    /// This many partitions, and the answer is marked as partial.
     Partial(usize),
-    /// Refused, with or without the time to come back.
+    /// Refused; `retry_after` is whether the answer states when to retry.
     Refused { retry_after: bool },
-    /// Given up.
+    /// The broker gave up the query: HTTP status 504 or the diagnostic `OutOfTime`.
     Failed,
-    /// Something was wrong with the request.
+    /// Any other error, such as that for an invalid request.
     Bad,
 }
 
@@ -40,7 +41,7 @@
 
 pub const PARTITIONS: u32 = 3;
 
-/// Starts three nodes and a broker between them and clients of `wire`.
+/// Starts three nodes that speak `nodes` and a broker that serves clients of `wire`.
 pub fn start_broker(wire: WireProtocol, nodes: WireProtocol, max_open: u32) -> TestBroker {
     let script = NodeScript::default();
     let nodes: Vec<(SocketAddr, WireProtocol)> =
@@ -57,32 +58,33 @@
     if wire == WireProtocol::Http {
         return start_platform_broker(&platform_config(nodes, max_open, None), script);
     }
-    let (tell, told) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     let operator = operator_config(nodes, max_open);
     let thread = std::thread::spawn(move || {
         let (mut broker, addrs) = catalogue::broker(operator).unwrap();
         let addr = addrs[usize::from(wire == WireProtocol::Z3950)];
-        tell.send((addr, broker.shutdown_handle().unwrap())).unwrap();
+        sender.send((addr, broker.shutdown_handle().unwrap())).unwrap();
         broker.run().unwrap();
     });
-    let (addr, waker) = told.recv().unwrap();
+    let (addr, waker) = receiver.recv().unwrap();
     TestBroker { wire, addr, script, waker, thread }
 }
 
-/// A broker on the platform with this configuration.
+/// Starts a broker of the platform frontend with this configuration.
 pub fn start_platform_broker(config: &str, script: NodeScript) -> TestBroker {
-    let (tell, told) = mpsc::channel();
+    let (sender, receiver) = mpsc::channel();
     let config = PlatformConfig::read(config, |_| None).unwrap();
     let thread = std::thread::spawn(move || {
         let (mut broker, addr) = platform::broker(config).unwrap();
-        tell.send((addr, broker.shutdown_handle().unwrap())).unwrap();
+        sender.send((addr, broker.shutdown_handle().unwrap())).unwrap();
         broker.run().unwrap();
     });
-    let (addr, waker) = told.recv().unwrap();
+    let (addr, waker) = receiver.recv().unwrap();
     TestBroker { wire: WireProtocol::Http, addr, script, waker, thread }
 }
 
-/// Classes alike on both fronts: `whole` needs all parts, `most` two of three, `short` has little time.
+/// Request classes, the same on both frontends: name, aim in ms, deadline in ms and floor. `whole` needs all
+/// parts, `most` two of three, and `short` has a short deadline.
 const CLASSES: [(&str, u64, u64, f64); 3] =
     [("whole", 8000, 20_000, 1.0), ("most", 3000, 20_000, 0.6), ("short", 600, 1500, 1.0)];
 
@@ -140,7 +142,7 @@
 impl TestBroker {
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.addr).unwrap();
-        // Only a hang is caught by this; no test leans on it.
+        // Only catches a hang; no test depends on this time-out.
         stream.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
         let mut client = Client { wire: self.wire, stream, queries_sent: 0 };
         if self.wire == WireProtocol::Z3950 {
@@ -154,7 +156,9 @@
                 })
                 .encode(),
             );
-            let Some(Apdu::InitResponse(r)) = read_apdu(&mut client.stream) else { panic!("no Init") };
+            let Some(Apdu::InitResponse(r)) = read_apdu(&mut client.stream) else {
+                panic!("no InitResponse")
+            };
             assert!(r.accepted);
         }
         client
@@ -164,7 +168,7 @@
         self.client().query(class)
     }
 
-    /// Waits until so many parts have come to the nodes.
+    /// Waits until the nodes have received `n` parts.
     pub fn wait_for_parts(&self, n: usize) {
         while self.script.parts_received() < n {
             std::thread::sleep(Duration::from_millis(2));
@@ -196,17 +200,17 @@
         self.reply()
     }
 
-    /// Whether the connection stays open behind one more answer.
+    /// Sends one more query: whether it gets a complete answer and the connection then stays open.
     pub fn stays_open_after_query(&mut self) -> bool {
         self.query("whole") == Reply::Complete && {
             self.stream.set_nonblocking(true).unwrap();
-            let quiet = self.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+            let open = self.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
             self.stream.set_nonblocking(false).unwrap();
-            quiet
+            open
         }
     }
 
-    /// Sends a query; an empty term makes it a bad one.
+    /// Sends a query; an empty `term` makes it invalid.
     pub fn send(&mut self, class: &str, term: &str) {
         self.queries_sent += 1;
         let (n, port) = (self.queries_sent, self.stream.local_addr().unwrap().port());
@@ -216,9 +220,9 @@
                 let parts: Vec<String> = (0..PARTITIONS).map(part).collect();
                 let parts = if term.is_empty() { vec![part(0), part(0)] } else { parts };
                 let body = format!(r#"{{"segments":[{}],"text":"{term}"}}"#, parts.join(","));
-                let long = body.len();
+                let length = body.len();
                 let deadline = CLASSES.iter().find(|c| c.0 == class).map_or(0, |c| c.2);
-                format!("POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: q{port}x{n}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline}m\r\nContent-Length: {long}\r\n\r\n{body}").into_bytes()
+                format!("POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: q{port}x{n}\r\nReq-Kind: {class}\r\nReq-Deadline: {deadline}m\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
             }
             WireProtocol::Sru => {
                 let query = sru::percent_encode(&format!("dc.title = \"{term}\""));
@@ -245,11 +249,11 @@
     pub fn reply(&mut self) -> Reply {
         match self.wire {
             WireProtocol::Http => {
-                let (head, body) = read_http(&mut self.stream).expect("an answer");
+                let (head, body) = read_http(&mut self.stream).expect("no answer");
                 reply_http(&head, &body)
             }
             WireProtocol::Sru => {
-                let (head, body) = read_http(&mut self.stream).expect("an answer");
+                let (head, body) = read_http(&mut self.stream).expect("no answer");
                 reply_sru(&head, &body)
             }
             WireProtocol::Z3950 => self.reply_z3950(),
@@ -293,13 +297,13 @@
         check_records(found.into_iter().map(record).collect(), partial)
     }
 
-    /// True once the broker has ended the connection; on the way an open session must be told so.
+    /// Whether the broker closes the connection. An open Z39.50 session must receive a Close first.
     pub fn closed_by_broker(&mut self) -> bool {
         use std::io::Read;
         if self.wire == WireProtocol::Z3950 {
             assert!(
                 matches!(read_apdu(&mut self.stream), Some(Apdu::Close { reason: 1, .. })),
-                "a Close comes first"
+                "no Close before the end of the connection"
             );
         }
         matches!(self.stream.read(&mut [0]), Ok(0))
@@ -311,9 +315,9 @@
 }
 
 fn refused(head: &str) -> Reply {
-    let wait = head.lines().find_map(|l| l.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
-    assert!(wait.is_none_or(|w| w <= 2.0), "the settings cap the wait");
-    Reply::Refused { retry_after: wait.is_some() }
+    let retry_after = head.lines().find_map(|l| l.strip_prefix("Retry-After: ")?.parse::<f64>().ok());
+    assert!(retry_after.is_none_or(|w| w <= 2.0), "Retry-After is over the 2 s that the settings allow");
+    Reply::Refused { retry_after: retry_after.is_some() }
 }
 
 fn reply_http(head: &str, body: &str) -> Reply {
@@ -329,7 +333,7 @@
         assert_eq!(
             m["payload"],
             value(m["segment"].as_u64().unwrap() as u32),
-            "a value as its server gave it"
+            "the payload differs from what its server sent"
         );
     }
     match body["all_in"].as_bool().unwrap() {
@@ -361,14 +365,16 @@
     check_records(r.items.into_iter().map(record).collect(), partial)
 }
 
-/// Records must be as the nodes have them, partition after partition.
+/// Checks that the records equal those of the nodes, in the order of the partitions, and counts the
+/// partitions.
 fn check_records(found: Vec<Record>, partial: bool) -> Reply {
-    let all = (0..PARTITIONS).flat_map(|p| (1..=RECORDS_PER_PARTITION).map(move |n| record(p, n)));
-    let name = |r: &Record| match &r.fields[0] {
+    let all_records = (0..PARTITIONS).flat_map(|p| (1..=RECORDS_PER_PARTITION).map(move |n| record(p, n)));
+    let control_number = |r: &Record| match &r.fields[0] {
         Field::Control { value, .. } => value.clone(),
-        Field::Data { .. } => panic!("no 001"),
+        Field::Data { .. } => panic!("no control field 001"),
     };
-    let expected: Vec<Record> = all.filter(|r| found.iter().any(|f| name(f) == name(r))).collect();
+    let expected: Vec<Record> =
+        all_records.filter(|r| found.iter().any(|f| control_number(f) == control_number(r))).collect();
     assert_eq!(found, expected);
     let partitions = found.len() / RECORDS_PER_PARTITION as usize;
     if partial {
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -32,7 +32,7 @@
 const REFUSED: Reply = Reply::Refused { retry_after: true };
 
 for_each_pairing! {
-    fn a_whole_answer_has_every_part_in_order(wire, nodes) {
+    fn complete_answer_has_every_part_in_order(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         let mut client = s.client();
         for _ in 0..3 {
@@ -40,15 +40,15 @@
         }
     }
 
-    fn a_part_is_tried_elsewhere_when_a_node_fails_it(wire, nodes) {
-        for act in [Behaviour::Fail, Behaviour::Reject, Behaviour::CloseConnection] {
+    fn failed_part_is_retried_on_another_node(wire, nodes) {
+        for behaviour in [Behaviour::Fail, Behaviour::Reject, Behaviour::CloseConnection] {
             let s = start_broker(wire, nodes, 100);
-            s.script.set(&[1], &[0, 1, 2], act);
-            assert_eq!(s.query("whole"), Reply::Complete, "{act:?}");
+            s.script.set(&[1], &[0, 1, 2], behaviour);
+            assert_eq!(s.query("whole"), Reply::Complete, "{behaviour:?}");
         }
     }
 
-    fn a_dead_node_costs_no_answer(wire, nodes) {
+    fn dead_node_does_not_prevent_complete_answers(wire, nodes) {
         let script = NodeScript::default();
         let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let alive = |n| (node(nodes, n, script.clone()), nodes);
@@ -58,42 +58,42 @@
         }
     }
 
-    fn an_answer_from_the_floor_up_is_given_and_says_that_it_is_partial(wire, nodes) {
+    fn answer_at_the_floor_is_marked_as_partial(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[1], Behaviour::Silent);
         assert_eq!(s.query("most"), Reply::Partial(2));
     }
 
-    fn no_answer_is_given_from_under_the_floor(wire, nodes) {
+    fn answer_below_the_floor_is_withheld(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[1, 2], Behaviour::Silent);
         assert_eq!(s.query("most"), REFUSED);
-        let whole = start_broker(wire, nodes, 100);
-        whole.script.set(ALL, &[1], Behaviour::Silent);
-        assert!(matches!(whole.query("short"), Reply::Refused { .. } | Reply::Failed));
+        let all_parts_needed = start_broker(wire, nodes, 100);
+        all_parts_needed.script.set(ALL, &[1], Behaviour::Silent);
+        assert!(matches!(all_parts_needed.query("short"), Reply::Refused { .. } | Reply::Failed));
     }
 
-    fn a_query_that_no_replica_can_serve_is_refused_at_once_with_a_wait(wire, nodes) {
+    fn query_that_no_replica_can_serve_is_refused_early_with_a_retry_time(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[2], Behaviour::Fail);
         let start = std::time::Instant::now();
         assert_eq!(s.query("whole"), REFUSED);
-        // Its class has 20 s; three failed attempts take milliseconds.
+        // The deadline of its class is 20 s; three failed attempts take milliseconds.
         assert!(start.elapsed().as_secs() < 15);
     }
 
-    fn silent_nodes_lead_to_one_final_answer_and_the_connection_lives_on(wire, nodes) {
+    fn silent_nodes_lead_to_one_final_answer_and_the_connection_stays_open(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         s.script.set(ALL, &[0, 1, 2], Behaviour::Silent);
         let mut client = s.client();
         assert!(matches!(client.query("short"), Reply::Refused { .. } | Reply::Failed));
         s.script.set(ALL, &[0, 1, 2], Behaviour::Serve);
-        // The nodes' connections that hold silent parts are busy or given up; the next answer is the next query's.
-        let again = (0..20).find(|_| client.query("whole") == Reply::Complete);
-        assert!(again.is_some());
+        // Node connections with silent parts are busy or abandoned; the next answer belongs to the next query.
+        let served = (0..20).find(|_| client.query("whole") == Reply::Complete);
+        assert!(served.is_some());
     }
 
-    fn over_max_open_a_query_is_refused_and_a_client_that_goes_frees_its_place(wire, nodes) {
+    fn query_over_max_open_is_refused_until_another_client_disconnects(wire, nodes) {
         let s = start_broker(wire, nodes, 1 + PARTITIONS);
         s.script.set(ALL, &[0], Behaviour::Delayed(5000));
         let mut first = s.client();
@@ -106,10 +106,10 @@
             std::thread::sleep(std::time::Duration::from_millis(5));
             s.query("whole") == Reply::Complete
         });
-        assert!(served, "the place of the client that went is free");
+        assert!(served, "the place of the disconnected client was not released");
     }
 
-    fn bad_requests_are_told_so_and_the_connection_lives_on(wire, nodes) {
+    fn bad_request_is_rejected_and_the_connection_stays_open(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         let mut client = s.client();
         client.send("whole", "");
@@ -117,7 +117,7 @@
         assert_eq!(client.query("whole"), Reply::Complete);
     }
 
-    fn garbage_closes_its_own_connection_alone(wire, nodes) {
+    fn garbage_closes_only_its_own_connection(wire, nodes) {
         use std::io::Read;
         let s = start_broker(wire, nodes, 100);
         let mut good = s.client();
@@ -129,19 +129,19 @@
         assert_eq!(good.query("whole"), Reply::Complete);
     }
 
-    fn a_crowd_that_says_nothing_keeps_nobody_out(wire, nodes) {
+    fn silent_connections_do_not_block_other_clients(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         let mut first = s.client();
         assert_eq!(first.query("whole"), Reply::Complete);
-        // More than there are places on either port.
-        let crowd: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(s.addr).unwrap()).collect();
+        // More connections than either port has places for.
+        let silent: Vec<TcpStream> = (0..100).map(|_| TcpStream::connect(s.addr).unwrap()).collect();
         assert_eq!(s.query("whole"), Reply::Complete);
-        // Whoever has asked before keeps its place.
+        // A client that has sent a query before keeps its place.
         assert_eq!(first.query("whole"), Reply::Complete);
-        drop(crowd);
+        drop(silent);
     }
 
-    fn half_a_request_is_told_so_and_ends_its_connection(wire, nodes) {
+    fn incomplete_request_times_out_and_its_connection_is_closed(wire, nodes) {
         use std::io::Read;
         let s = start_broker(wire, nodes, 100);
         let mut bad = TcpStream::connect(s.addr).unwrap();
@@ -152,8 +152,8 @@
         assert!(rest.starts_with("HTTP/1.1 408") || (wire == WireProtocol::Z3950 && rest.is_empty()), "{rest}");
     }
 
-    fn who_is_connected_is_served_on_for_a_while_after_the_word_to_end(wire, nodes) {
-        // A machine so busy that a second goes by between two lines may need another try.
+    fn connected_clients_are_served_for_a_while_after_a_drain_begins(wire, nodes) {
+        // On a busy machine a second can pass between two statements, hence up to ten tries.
         let served = (0..10).any(|_| {
             let s = start_broker(wire, nodes, 100);
             let mut c = s.client();
@@ -164,7 +164,7 @@
         assert!(served);
     }
 
-    fn a_drain_finishes_what_was_taken_ends_idle_connections_and_ends(wire, nodes) {
+    fn drain_finishes_accepted_queries_closes_idle_connections_and_ends(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
         let (mut idle, mut busy) = (s.client(), s.client());
         assert_eq!(idle.query("whole"), Reply::Complete);
@@ -174,7 +174,7 @@
         s.wait_for_parts(before + 3);
         s.drain();
         if wire == WireProtocol::Z3950 {
-            // The search is finished; then the session ends, so that nothing can be presented.
+            // The search is finished, then the session is closed, so its records can't be presented.
             let answer = read_apdu(&mut busy.stream);
             assert!(matches!(answer, Some(pebbleturn::frontends::catalogue::apdu::Apdu::SearchResponse(r)) if r.success));
         } else {
@@ -183,6 +183,6 @@
         assert!(busy.closed_by_broker() && idle.closed_by_broker());
         let addr = s.addr;
         s.join();
-        assert!(TcpStream::connect(addr).is_err(), "nobody listens after the end");
+        assert!(TcpStream::connect(addr).is_err(), "the port is still open after the shutdown");
     }
 }
