--- a/tests/program.rs
+++ b/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as it is started: its exit codes, its log, and the signal to end.
+//! The program as a process: its exit codes, its log lines, and its handling of SIGTERM and SIGHUP.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,7 +15,7 @@
     command.output().unwrap()
 }
 
-/// The program at work; it does not outlive a test that fails.
+/// A running program; it is killed on drop, so that it does not outlive a failed test.
 struct Program(Child);
 
 impl Program {
@@ -25,8 +25,8 @@
         (Program(child), lines)
     }
 
-    /// Waits for its orderly end.
-    fn ends(mut self) {
+    /// Waits for the program to exit successfully.
+    fn wait_for_success(mut self) {
         assert!(self.0.wait().unwrap().success());
     }
 }
@@ -38,7 +38,7 @@
     }
 }
 
-/// A file that is there for as long as the test.
+/// A temporary file that is removed at the end of the test.
 struct File(std::path::PathBuf);
 
 impl File {
@@ -60,21 +60,21 @@
 }
 
 #[test]
-fn unusable_configuration_is_one_line_and_a_failure() {
-    let (broken, odd) = (File::new("broken", "{"), File::new("odd", "name = 1\n"));
-    let nowhere = "/nowhere/config.json";
+fn unusable_configuration_fails_with_one_line() {
+    let (malformed, wrong_type) = (File::new("broken", "{"), File::new("odd", "name = 1\n"));
+    let missing = "/nowhere/config.json";
     for (args, config) in [
         (&[][..], None),
-        (&[], Some(nowhere)),
-        (&[], Some(broken.path())),
-        (&["serve", "catalogue", odd.path()], None),
-        (&["--catalogue", nowhere], None),
-        (&["import", "jk", nowhere], None),
-        (&["--import", "jk", nowhere], None),
+        (&[], Some(missing)),
+        (&[], Some(malformed.path())),
+        (&["serve", "catalogue", wrong_type.path()], None),
+        (&["--catalogue", missing], None),
+        (&["import", "jk", missing], None),
+        (&["--import", "jk", missing], None),
     ] {
         let out = run(args, config);
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.lines().count() == 1, "{args:?} {config:?}: {said}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success() && stderr.lines().count() == 1, "{args:?} {config:?}: {stderr}");
     }
     assert_eq!(run(&["--nonsense"], None).status.code(), Some(2));
 }
@@ -93,15 +93,15 @@
         (&["roster", "show"], "<PATH>"),
     ] {
         let out = run(args, None);
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(out.status.code() == Some(2) && said.contains(word), "{args:?}: {said}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert!(out.status.code() == Some(2) && stderr.contains(word), "{args:?}: {stderr}");
     }
 }
 
 #[test]
 fn check_reports_every_fault_with_its_line() {
-    let sound = run(&["check", "deploy/catalogue.toml"], None);
-    assert!(sound.status.success());
+    let valid = run(&["check", "deploy/catalogue.toml"], None);
+    assert!(valid.status.success());
     let text = std::fs::read_to_string("deploy/catalogue.toml").unwrap();
     let line = |word: &str| text.lines().position(|l| l.starts_with(word)).unwrap() + 1;
     let wrong = text
@@ -111,40 +111,40 @@
         .replace("brokers = 2", "brokers = -2");
     let file = File::new("mistakes.toml", &wrong);
     let out = run(&["check", file.path()], None);
-    let said = String::from_utf8(out.stderr).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
     assert_eq!(out.status.code(), Some(1));
     for (word, at) in [("tock_ms", line("tick_ms")), ("eight", line("page")), ("brokers", line("brokers"))] {
         assert!(
-            said.lines().any(|l| l.contains(word) && l.contains(&format!("line {at}:"))),
-            "{word} at {at}: {said}"
+            stderr.lines().any(|l| l.contains(word) && l.contains(&format!("line {at}:"))),
+            "{word} at {at}: {stderr}"
         );
     }
-    assert!(said.contains("gopher") && said.lines().count() == 5, "{said}");
-    // The second look finds what can only be checked once all can be read.
-    let odd = text
+    assert!(stderr.contains("gopher") && stderr.lines().count() == 5, "{stderr}");
+    // Faults that are only checked once every value could be read.
+    let inconsistent = text
         .replace("holders = 2", "holders = 9")
         .replace("tick_ms = 5", "tick_ms = 0")
         .replace("id = \"kochi-2\"", "id = \"kochi-1\"")
         .replace("class = \"usage-report\"", "class = \"nothing\"");
-    let file = File::new("odd.toml", &odd);
+    let file = File::new("odd.toml", &inconsistent);
     let out = run(&["check", file.path()], None);
-    let said = String::from_utf8(out.stderr).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
     for word in ["holders 9", "tick_ms must be", "\"kochi-1\" is there twice", "no class \"nothing\""] {
-        assert!(said.lines().any(|l| l.contains(word) && l.contains("line ")), "{word}: {said}");
+        assert!(stderr.lines().any(|l| l.contains(word) && l.contains("line ")), "{word}: {stderr}");
     }
 }
 
 #[test]
 fn log_lines_are_json_on_request() {
     let out = run(&["--log-format", "json"], Some("/nowhere/config.json"));
-    let said = String::from_utf8(out.stderr).unwrap();
-    let line: serde_json::Value = serde_json::from_str(said.trim()).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
+    let line: serde_json::Value = serde_json::from_str(stderr.trim()).unwrap();
     assert_eq!((&line["level"], &line["target"]), (&"ERROR".into(), &"pebbleturn::cli".into()));
     assert_eq!(line["message"], "broker failed");
     assert!(line["error"].as_str().unwrap().contains("/nowhere/config.json"));
 }
 
-/// A port that is free just now.
+/// A port that is free at the time of the call.
 fn free_port() -> u16 {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port()
 }
@@ -161,11 +161,11 @@
     signal(child, "-TERM");
 }
 
-/// Ends it in an orderly way.
-fn end(child: Program, lines: &mut impl Iterator<Item = std::io::Result<String>>) {
+/// Shuts the program down gracefully.
+fn shut_down(child: Program, lines: &mut impl Iterator<Item = std::io::Result<String>>) {
     terminate(&child);
     wait_for(lines, "graceful shutdown is complete");
-    child.ends();
+    child.wait_for_success();
 }
 
 #[test]
@@ -185,17 +185,17 @@
     terminate(&child);
     wait_for(&mut lines, "graceful shutdown begins");
     signal(&child, "-HUP");
-    // Still taken, but no longer ready, and the answer ends the connection.
+    // The request is still accepted, but the broker is no longer ready and closes the connection after it.
     if write!(stream, "GET /-/ready HTTP/1.1\r\n\r\n").is_ok() {
         let rest: Vec<String> = answer.map_while(Result::ok).collect();
         assert!(rest.iter().all(|l| !l.contains("200 OK")), "{rest:?}");
     }
     wait_for(&mut lines, "graceful shutdown is complete");
-    child.ends();
+    child.wait_for_success();
     assert!(TcpStream::connect(&addr).is_err());
 }
 
-/// A platform's configuration whose discovery and one server are at `port`.
+/// A platform configuration whose discovery and only server are at `port`.
 fn config(port: u16, limits: &str) -> String {
     format!(
         r#"{{"name":"t","listen":"127.0.0.1:0","discovery":"127.0.0.1:{port}","seed":"1f","limits":{limits},"known":{{"version":1,"full":true,"servers":
@@ -212,8 +212,8 @@
     for (limits, word) in [(r#"{"sockets":8}"#, "sockets"), (r#"{"memory_mb":1}"#, "memory")] {
         let file = File::new(word, &config(1, limits));
         let out = run(&[], Some(file.path()));
-        let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.contains(word) && said.lines().count() == 1, "{said}");
+        let stderr = String::from_utf8(out.stderr).unwrap();
+        assert!(!out.status.success() && stderr.contains(word) && stderr.lines().count() == 1, "{stderr}");
     }
 }
 
@@ -229,42 +229,42 @@
             nodes[n]
         )
     };
-    let listed = File::new("nodes.toml", "");
-    let told = format!(
+    let nodes_file = File::new("nodes.toml", "");
+    let config = format!(
         "name = \"t\"\nzone = \"a\"\n[membership]\nnodes_file = \"{}\"\n[partitions]\ncount = 3\ncells = 1\nholders = 1\n\
          database = \"part-{{partition}}\"\n[[class]]\nname = \"c\"\naim_ms = 8000\ndeadline_ms = 20000\n\
          [[database]]\nname = \"scores\"\nclass = \"c\"\n[[listener]]\nprotocol = \"sru\"\nlisten = \"127.0.0.1:0\"\n",
-        listed.path()
+        nodes_file.path()
     );
-    let file = File::new("nodes-operator.toml", &told);
+    let file = File::new("nodes-operator.toml", &config);
     let (child, mut lines) = Program::start(Command::new(PROGRAM).args(["serve", "catalogue", file.path()]));
     let line = wait_for(&mut lines, "for Sru");
     let addr = line.split(' ').find(|w| w.starts_with("127.")).unwrap().parse().unwrap();
     let serves = || search_over_sru(addr).unwrap().starts_with("HTTP/1.1 200");
-    assert!(!serves(), "there is no node yet");
-    std::fs::write(listed.path(), entry(0, "active")).unwrap();
+    assert!(!serves(), "a search is served although no node is listed");
+    std::fs::write(nodes_file.path(), entry(0, "active")).unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "read again: 1 nodes");
     assert!(serves() && script.parts_received_by(0) > 0);
-    std::fs::write(listed.path(), entry(0, "active") + "[[node]]\nid = 7\n").unwrap();
+    std::fs::write(nodes_file.path(), entry(0, "active") + "[[node]]\nid = 7\n").unwrap();
     signal(&child, "-HUP");
     let line = wait_for(&mut lines, "the nodes stay as they were");
     assert!(line.contains("line 9"), "{line}");
     assert!(serves());
-    std::fs::write(listed.path(), entry(0, "draining") + &entry(1, "active")).unwrap();
+    std::fs::write(nodes_file.path(), entry(0, "draining") + &entry(1, "active")).unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "read again: 2 nodes");
     let before = script.parts_received_by(0);
     assert!(
         (0..10).all(|_| serves()) && script.parts_received_by(0) == before && script.parts_received_by(1) > 0
     );
-    // A file that was half written when the signal came is read again without another one.
-    std::fs::write(listed.path(), entry(0, "active") + "[[node]]\nid = ").unwrap();
+    // A file that was incomplete when the signal arrived is read again without another signal.
+    std::fs::write(nodes_file.path(), entry(0, "active") + "[[node]]\nid = ").unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "the nodes stay as they were");
-    std::fs::write(listed.path(), entry(0, "active")).unwrap();
+    std::fs::write(nodes_file.path(), entry(0, "active")).unwrap();
     wait_for(&mut lines, "read again: 1 nodes");
-    end(child, &mut lines);
+    shut_down(child, &mut lines);
 }
 
 #[test]
@@ -274,7 +274,7 @@
     let script = NodeScript::default();
     let closed = free_port();
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], closed));
-    // Partition 0 is held by the first two, and so on round the ring.
+    // Partition 0 is held by the first two nodes, and so on round the ring.
     let nodes = [
         (at, WireProtocol::Sru),
         (node(WireProtocol::Sru, 1, script.clone()), WireProtocol::Sru),
@@ -285,26 +285,29 @@
     let line = wait_for(&mut lines, "for Sru");
     let addr = line.split(' ').find(|w| w.starts_with("127.")).unwrap().parse().unwrap();
     let (stop, stopped) = std::sync::mpsc::channel::<()>();
-    let asking = std::thread::spawn(move || {
+    let query_thread = std::thread::spawn(move || {
         while stopped.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
-            assert!(search_over_sru(addr).unwrap().starts_with("HTTP/1.1 200"), "the other holder serves");
+            assert!(
+                search_over_sru(addr).unwrap().starts_with("HTTP/1.1 200"),
+                "the other holder did not serve"
+            );
         }
     });
     wait_for(&mut lines, "node is unreachable node=node-0 addr=");
     node_at(at, WireProtocol::Sru, 0, script);
     let line = wait_for(&mut lines, "reachable");
     let is_back = line.contains("node is reachable again node=node-0 addr=");
-    assert!(is_back && line.contains(" unreachable_s="), "nothing more was logged meanwhile: {line}");
+    assert!(is_back && line.contains(" unreachable_s="), "another line was logged in between: {line}");
     stop.send(()).unwrap();
-    asking.join().unwrap();
-    end(child, &mut lines);
+    query_thread.join().unwrap();
+    shut_down(child, &mut lines);
 }
 
 #[test]
 fn cached_list_can_be_shown_and_a_corrupt_one_is_reported() {
     use pebbleturn::membership::snapshot::{self, Snapshot, SnapshotNode};
     use pebbleturn::membership::{NodeRecord, NodeState, staleness::ChangeRate};
-    let fact = |id: &str, state| NodeRecord {
+    let record = |id: &str, state| NodeRecord {
         id: id.into(),
         addr: Some("127.0.0.1:80".parse().unwrap()),
         zone: "a".into(),
@@ -314,34 +317,29 @@
         started: 0,
     };
     let node = |id, state| {
-        let (confirmed, anew) = (Some(1), false);
-        SnapshotNode {
-            record: fact(id, state),
-            epoch: 0,
-            version: 4,
-            received: 1,
-            after_reset: anew,
-            confirmed,
-        }
+        let (confirmed, after_reset) = (Some(1), false);
+        SnapshotNode { record: record(id, state), epoch: 0, version: 4, received: 1, after_reset, confirmed }
     };
     let nodes = vec![node("s-1", NodeState::Ready), node("s-2", NodeState::Terminating)];
-    let (whole, rate) = (Some((0, 4, 1)), ChangeRate::NONE);
-    let list =
-        Snapshot { written: 1, last_confirmed: Some(1), full_list: whole, pruned_up_to: None, rate, nodes };
+    let (full_list, rate) = (Some((0, 4, 1)), ChangeRate::NONE);
+    let list = Snapshot { written: 1, last_confirmed: Some(1), full_list, pruned_up_to: None, rate, nodes };
     let bytes = snapshot::encode(&list).unwrap();
     let file = File::new("list.kept", "");
     std::fs::write(file.path(), &bytes).unwrap();
     let out = run(&["roster", "show", file.path()], None);
-    let said = String::from_utf8(out.stdout).unwrap();
-    assert!(out.status.success() && said.contains("s-1") && said.contains("Terminating"), "{said}");
+    let stdout = String::from_utf8(out.stdout).unwrap();
+    assert!(out.status.success() && stdout.contains("s-1") && stdout.contains("Terminating"), "{stdout}");
     let out = run(&["roster", "show", "--json", file.path()], None);
-    let said: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
-    assert_eq!((&said["version"], &said["nodes"][1]["state"]), (&4.into(), &"Terminating".into()));
-    assert!(said["nodes"][0]["trust"].as_f64().unwrap() < 0.01, "it is as old as the clock");
+    let shown: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
+    assert_eq!((&shown["version"], &shown["nodes"][1]["state"]), (&4.into(), &"Terminating".into()));
+    assert!(
+        shown["nodes"][0]["trust"].as_f64().unwrap() < 0.01,
+        "last confirmed at the Unix epoch, so its trust must be near 0"
+    );
     std::fs::write(file.path(), &bytes[..bytes.len() - 7]).unwrap();
     let out = run(&["roster", "show", file.path()], None);
-    let said = String::from_utf8(out.stderr).unwrap();
-    assert!(out.status.code() == Some(1) && said.contains("bytes instead of"), "{said}");
+    let stderr = String::from_utf8(out.stderr).unwrap();
+    assert!(out.status.code() == Some(1) && stderr.contains("bytes instead of"), "{stderr}");
     assert_eq!(run(&["roster", "show", "/nowhere"], None).status.code(), Some(1));
 }
 
@@ -352,10 +350,10 @@
     let (child, mut lines) = Program::start(Command::new(PROGRAM).env("GW_CONFIG", file.path()));
     wait_for(&mut lines, "endpoint list was merged version=1 endpoints=1 full=true");
     wait_for(&mut lines, "listens");
-    // It asks, fails, and asks again.
+    // The watch fails, is retried and fails again.
     wait_for(&mut lines, "discovery watch ended");
     wait_for(&mut lines, "discovery watch ended");
-    end(child, &mut lines);
+    shut_down(child, &mut lines);
 }
 
 #[test]
@@ -366,8 +364,8 @@
     let node = TcpListener::bind("127.0.0.1:0").unwrap();
     let directory =
         Directory::start(vec![endpoint("s-9", node.local_addr().unwrap(), "", 0, NodeState::Ready)]);
-    let told = config(directory.addr.port(), "{}").replace("\"version\":1,", "\"version\":0,");
-    let file = File::new("keeping", &told);
+    let config_text = config(directory.addr.port(), "{}").replace("\"version\":1,", "\"version\":0,");
+    let file = File::new("keeping", &config_text);
     let start = |keep: bool| {
         let mut command = Command::new(PROGRAM);
         command.env("GW_CONFIG", file.path()).env_remove("PEBBLETURN_KEEP");
@@ -380,14 +378,14 @@
     for keep in [false, true] {
         let (child, mut lines) = start(keep);
         wait_for(&mut lines, "endpoint list was merged version=1 endpoints=1 full=true");
-        end(child, &mut lines);
+        shut_down(child, &mut lines);
         assert_eq!(files() > 0, keep);
     }
     directory.set_mode(Mode::Down);
     let (child, mut lines) = start(true);
     let line = wait_for(&mut lines, "membership snapshot was restored");
     assert!(line.contains("nodes=1 ") && line.contains("trust=1.00"), "{line}");
-    end(child, &mut lines);
+    shut_down(child, &mut lines);
 }
 
 #[test]
@@ -396,7 +394,7 @@
     use pebbleturn::storage::snapshot_store::{CURRENT, TEMPORARY};
     use pebbleturn_lab::directory::{Directory, endpoint};
     let dir = tempfile::tempdir().unwrap();
-    // Whoever opens a pipe to write waits until somebody reads: the disk that hangs.
+    // Opening a pipe for writing blocks until it has a reader, as a write to a hung disk does.
     let pipe = dir.path().join(TEMPORARY);
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let node = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -408,30 +406,30 @@
     let start = || {
         Program::start(Command::new(PROGRAM).env("GW_CONFIG", file.path()).env("PEBBLETURN_KEEP", dir.path()))
     };
-    let (old, mut said) = start();
-    wait_for(&mut said, "endpoint list was merged version=1 endpoints=1 full=true");
+    let (old, mut old_lines) = start();
+    wait_for(&mut old_lines, "endpoint list was merged version=1 endpoints=1 full=true");
     signal(&old, "-HUP");
-    wait_for(&mut said, "discovery stays addr=");
-    // The next one starts and serves while the old one still has the directory.
-    let (new, mut next) = start();
-    wait_for(&mut next, "listens");
-    wait_for(&mut next, "endpoint list was merged version=1 endpoints=1 full=true");
+    wait_for(&mut old_lines, "discovery stays addr=");
+    // The new process starts and serves while the old one still holds the directory.
+    let (new, mut new_lines) = start();
+    wait_for(&mut new_lines, "listens");
+    wait_for(&mut new_lines, "endpoint list was merged version=1 endpoints=1 full=true");
     terminate(&old);
-    wait_for(&mut said, "graceful shutdown is complete");
-    old.ends();
-    // The disk works again: who is left keeps the list.
+    wait_for(&mut old_lines, "graceful shutdown is complete");
+    old.wait_for_success();
+    // The disk works again: the remaining process stores the list.
     std::fs::remove_file(&pipe).unwrap();
     directory.change(endpoint("s-9", node, "", 0, NodeState::Terminating));
-    wait_for(&mut next, "endpoints=1 full=false");
+    wait_for(&mut new_lines, "endpoints=1 full=false");
     terminate(&new);
-    wait_for(&mut next, "graceful shutdown is complete");
-    new.ends();
-    let kept = std::fs::read_to_string(dir.path().join(CURRENT)).unwrap();
-    assert!(kept.contains("Terminating"), "{kept}");
+    wait_for(&mut new_lines, "graceful shutdown is complete");
+    new.wait_for_success();
+    let stored = std::fs::read_to_string(dir.path().join(CURRENT)).unwrap();
+    assert!(stored.contains("Terminating"), "{stored}");
 }
 
-/// The first line of the next request that comes to a discovery; its connection stays open.
-fn asked(discovery: &TcpListener) -> (String, TcpStream) {
+/// The first line of the next request that a discovery receives, and its connection, which stays open.
+fn next_request(discovery: &TcpListener) -> (String, TcpStream) {
     let (stream, _) = discovery.accept().unwrap();
     let mut line = String::new();
     BufReader::new(&stream).read_line(&mut line).unwrap();
@@ -444,7 +442,7 @@
     let port = |l: &TcpListener| l.local_addr().unwrap().port();
     let file = File::new("reload", &config(port(&old), "{}"));
     let (child, mut lines) = Program::start(Command::new(PROGRAM).env("GW_CONFIG", file.path()));
-    let (first, _watch) = asked(&old);
+    let (first, _watch) = next_request(&old);
     signal(&child, "-HUP");
     wait_for(&mut lines, "discovery stays addr=");
     std::fs::write(file.path(), "{").unwrap();
@@ -453,13 +451,13 @@
     std::fs::write(file.path(), config(port(&new), "{}")).unwrap();
     signal(&child, "-HUP");
     wait_for(&mut lines, "discovery moves addr=");
-    // It asks there for what came after the list it has, as it asked the old one.
-    assert_eq!((asked(&new).0, first.contains("since=1")), (first, true));
+    // It requests the changes since its current list from the new discovery, as it did from the old one.
+    assert_eq!((next_request(&new).0, first.contains("since=1")), (first, true));
     terminate(&child);
     wait_for(&mut lines, "graceful shutdown begins");
     signal(&child, "-HUP");
     wait_for(&mut lines, "graceful shutdown is complete");
-    child.ends();
+    child.wait_for_success();
 }
 
 #[test]
@@ -471,15 +469,15 @@
     let at = |word: &str| wrong.lines().position(|l| l.starts_with(word)).unwrap() + 1;
     let file = File::new("operation.toml", &wrong);
     let out = run(&["check", file.path()], None);
-    let said = String::from_utf8(out.stderr).unwrap();
+    let stderr = String::from_utf8(out.stderr).unwrap();
     for (word, line) in [
         ("clients connect to", at("listen = ")),
         ("hand_over needs a descriptor", at("hand_over")),
         ("descriptor 1 must be over 2", at("descriptor")),
     ] {
         assert!(
-            said.lines().any(|l| l.contains(word) && l.contains(&format!("line {line}:"))),
-            "{word} at {line}: {said}"
+            stderr.lines().any(|l| l.contains(word) && l.contains(&format!("line {line}:"))),
+            "{word} at {line}: {stderr}"
         );
     }
 }
@@ -492,12 +490,12 @@
                    [[peer]]\nname = \"b\"\naddress = \"127.0.0.1:8301\"\n[[peer]]\nname = \"b\"\naddress = \"127.0.0.1:0\"\n";
     let wrong = text.replacen("[routing] ", &format!("{cluster}\n[routing] "), 1);
     let file = File::new("cluster.toml", &wrong);
-    let said = String::from_utf8(run(&["check", file.path()], None).stderr).unwrap();
+    let stderr = String::from_utf8(run(&["check", file.path()], None).stderr).unwrap();
     let at = |line: &str, nth: usize| {
         wrong.lines().enumerate().filter(|(_, l)| *l == line).nth(nth).unwrap_or_else(|| panic!("{line}")).0
             + 1
     };
-    let all = [
+    let faults = [
         ("name \"\" must have from 1", at("name = \"\"", 0)),
         ("must be an address that peers can name", at("listen = \"0.0.0.0:0\"", 0)),
         ("probe_ms 1 must be", at("probe_ms = 1", 0)),
@@ -508,14 +506,14 @@
         ("it is there twice", at("name = \"b\"", 1)),
         ("is no address to send to", at("address = \"127.0.0.1:0\"", 0)),
     ];
-    for (word, line) in all {
-        let found = said.lines().any(|l| l.contains(word) && l.contains(&format!("line {line}:")));
-        assert!(found, "{word} at {line}: {said}");
+    for (word, line) in faults {
+        let found = stderr.lines().any(|l| l.contains(word) && l.contains(&format!("line {line}:")));
+        assert!(found, "{word} at {line}: {stderr}");
     }
-    assert_eq!(said.lines().filter(|l| l.contains("line ")).count(), all.len(), "{said}");
-    // Peers without a cluster are a mistake too, and an unknown setting is named.
+    assert_eq!(stderr.lines().filter(|l| l.contains("line ")).count(), faults.len(), "{stderr}");
+    // Peers without a [cluster] section are a fault too.
     let file =
         File::new("peers.toml", &(text.clone() + "[[peer]]\nname = \"b\"\naddress = \"127.0.0.1:1\"\n"));
-    let said = String::from_utf8(run(&["check", file.path()], None).stderr).unwrap();
-    assert!(said.contains("there is no [cluster]"), "{said}");
+    let stderr = String::from_utf8(run(&["check", file.path()], None).stderr).unwrap();
+    assert!(stderr.contains("there is no [cluster]"), "{stderr}");
 }
