--- a/src/admin/client/mod.rs
+++ b/src/admin/client/mod.rs
@@ -24,75 +24,76 @@
 /// Maximum value of `--within`, seconds.
 const MAX_TIMEOUT_S: u64 = 24 * 3600;
 
-/// Calls a broker's second address. Exits with 0 for a yes, 1 for a no, 2 for a mistake in the command, 3
-/// where nobody answers, 4 where what `--wait` waits for does not come in time.
+/// Sends a request to a broker's admin endpoint. Exits with 0 on success, 1 if the broker rejected the
+/// request, 2 on a usage error, 3 if the broker did not respond, and 4 if the condition of `--wait` was not
+/// met in time.
 #[derive(Debug, Args)]
 pub struct OperateArgs {
-    /// Where the broker takes calls: the `ops` of its configuration.
+    /// Address of the broker's admin endpoint: `ops` in its configuration.
     address: SocketAddr,
     #[command(subcommand)]
     command: AdminCommand,
     /// Write one JSON object.
     #[arg(long, global = true)]
     json: bool,
-    /// Wait until it is done: after `pause` until no client is connected, after `suspend` until nothing is out at the
-    /// server, after `resume` and `status` until the broker serves.
+    /// Wait until the command is complete: after `pause` until no client is connected, after `suspend` until
+    /// no attempt is in flight at the server, after `resume` and `status` until the broker serves clients.
     #[arg(long, global = true)]
     wait: bool,
-    /// Seconds for an answer, and for what is waited for.
+    /// Timeout for the whole command, including `--wait`, seconds.
     #[arg(long, global = true, default_value_t = 30, value_name = "SECONDS")]
     within: u64,
-    /// Who says it, one word; kept with the word and shown to others.
+    /// Name of the operator, one word; recorded with the command and shown to other operators.
     #[arg(long, global = true, value_name = "WHO")]
     by: Option<String>,
-    /// Why it is said; kept with the word and shown to others.
+    /// Reason for the command; recorded with it and shown to other operators.
     #[arg(long, global = true, value_name = "WORDS")]
     why: Option<String>,
-    /// Seconds after which the word ends by itself; in a cluster.
+    /// Seconds after which the command expires; only in a cluster.
     #[arg(long = "for", global = true, value_name = "SECONDS")]
     valid_for_s: Option<u64>,
 }
 
 #[derive(Clone, Debug, Subcommand)]
 enum AdminCommand {
-    /// Whether the process takes clients.
+    /// Show whether the broker serves clients.
     Status,
-    /// The figures.
+    /// Show the metrics.
     Metrics,
-    /// Take a server out.
+    /// Suspend a server: it receives no new work.
     Suspend {
-        /// Its id in the list.
+        /// The server's id in the list of nodes.
         id: String,
     },
-    /// Put a server back.
+    /// Restore a suspended server.
     Restore {
-        /// Its id in the list.
+        /// The server's id in the list of nodes.
         id: String,
     },
-    /// Send clients away.
+    /// Pause a broker: it turns clients away.
     Pause {
-        /// The broker of the cluster; without a name the one that is called.
+        /// The name of a broker of the cluster; defaults to the broker at the address.
         broker: Option<String>,
     },
-    /// Take clients again.
+    /// End a broker's pause: it accepts clients again.
     Resume {
-        /// The broker of the cluster; without a name the one that is called.
+        /// The name of a broker of the cluster; defaults to the broker at the address.
         broker: Option<String>,
     },
-    /// Who the brokers of the cluster are, and who is up.
+    /// Show the brokers of the cluster, and which of them are up.
     Peers,
-    /// What the cluster knows: words by hand, and whether all of it is on disk.
+    /// Show the replicated state of the cluster: operator commands, and whether all of it is on disk.
     State,
-    /// On what words by hand differ that know nothing of each other.
+    /// Show concurrent operator commands that contradict each other.
     Conflicts,
     /// Remove a broker from the cluster for good.
     Remove {
-        /// Its name.
+        /// The broker's name.
         broker: String,
     },
-    /// Let a broker in again that was removed.
+    /// Readmit a removed broker.
     Admit {
-        /// Its name.
+        /// The broker's name.
         broker: String,
     },
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -32,13 +32,13 @@
 #[derive(Debug, Parser)]
 #[command(name = "pebbleturn", version, arg_required_else_help = false)]
 struct Cli {
-    /// The least level of log lines that are written; else PEBBLETURN_LOG tells, else info.
+    /// Lowest level of the log lines to write; defaults to the value of PEBBLETURN_LOG, else to info.
     #[arg(long, value_enum, global = true, value_name = "LEVEL")]
     log: Option<log::LogLevel>,
-    /// The form of log lines; else PEBBLETURN_LOG_FORMAT tells, else text.
+    /// Format of log lines; defaults to the value of PEBBLETURN_LOG_FORMAT, else to text.
     #[arg(long, value_enum, global = true, value_name = "FORM")]
     log_format: Option<log::LogFormat>,
-    /// Seconds by which the clock is off, for tests of clusters.
+    /// Offset of the clock, seconds; for tests of clusters.
     #[arg(
         long,
         global = true,
@@ -54,32 +54,33 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve clients until the word to end comes (SIGTERM), and finish what was taken.
+    /// Serve clients until SIGTERM, then complete the queries already accepted and exit.
     #[command(subcommand)]
     Serve(Serve),
-    /// Say all that is wrong with a configuration; exits with 1 if anything is.
+    /// Report all errors of a configuration; exits with 1 if there are any.
     Check {
         /// An operator's file, or the platform's configuration if its name ends in .json.
         file: PathBuf,
     },
-    /// Look at lists of nodes.
+    /// Inspect cached lists of nodes.
     #[command(subcommand)]
     Roster(RosterCommand),
-    /// Look at what brokers of a cluster have on disk.
+    /// Inspect the cluster state that brokers have on disk.
     #[command(subcommand)]
     State(StateCommand),
-    /// Call a broker's second address.
+    /// Send a request to a broker's admin endpoint.
     Operate(client::OperateArgs),
-    /// Write an operator's file from another balancer's; what has no counterpart goes to standard error.
+    /// Convert another balancer's configuration to an operator's file; settings without a counterpart are
+    /// reported on standard error.
     #[command(subcommand)]
     Import(Import),
 }
 
 #[derive(Debug, Subcommand)]
 enum Serve {
-    /// The platform's port, as the file that GW_CONFIG names tells.
+    /// Serve the platform, as configured in the file that GW_CONFIG names.
     Platform,
-    /// The catalogue's port: SRU and Z39.50.
+    /// Serve the catalogue, over SRU and Z39.50.
     Catalogue {
         /// The operator's file.
         file: PathBuf,
@@ -88,14 +89,15 @@
 
 #[derive(Debug, Subcommand)]
 enum RosterCommand {
-    /// Show what a kept list says: entries, age, trust, learnt drains; exits with 1 if it is unsound.
+    /// Show a cached list of nodes: entries, ages, trust and reported drains; exits with 1 if the list is
+    /// missing or invalid.
     Show {
-        /// The directory in which a list is kept, or one file of it.
+        /// The directory of the cached list, or one of its files.
         path: PathBuf,
         /// Write one JSON object instead of a table.
         #[arg(long)]
         json: bool,
-        /// Mean time between two changes of one node, hours, as the broker is told.
+        /// Expected mean time between two changes of one node, hours, as configured for the broker.
         #[arg(long, default_value_t = 24.0, value_name = "HOURS")]
         changes_every: f64,
     },
@@ -103,7 +105,7 @@
 
 #[derive(Debug, Subcommand)]
 enum StateCommand {
-    /// Show the words by hand that a broker has on disk; exits with 1 if anything there is unsound.
+    /// Show the operator commands in a broker's cluster state on disk; exits with 1 if the state is invalid.
     Show {
         /// The directory that `[cluster] keep` names.
         dir: PathBuf,
@@ -111,11 +113,12 @@
         #[arg(long)]
         json: bool,
     },
-    /// Show on what two brokers' copies on disk differ, or one's with nothing; exits with 1 if they do.
+    /// Show the differences between two brokers' cluster states on disk; exits with 1 if they differ or are
+    /// invalid.
     Diff {
-        /// A directory that `[cluster] keep` names.
+        /// The directory that `[cluster] keep` names for one broker.
         dir: PathBuf,
-        /// Another one; without it, what stands in the first one.
+        /// The same for another broker; without it, the state is compared with an empty one.
         other: Option<PathBuf>,
         /// Write one JSON object.
         #[arg(long)]
@@ -127,7 +130,7 @@
 struct ImportSource {
     /// The file to read.
     file: PathBuf,
-    /// The balancer to take, where the file has several.
+    /// The balancer to import, if the file defines several.
     name: Option<String>,
 }
 
@@ -135,7 +138,7 @@
 enum Import {
     /// An Apache httpd configuration with balancers.
     Apache(ImportSource),
-    /// A mod_jk workers.properties.
+    /// A mod_jk workers.properties file.
     Jk(ImportSource),
 }
 
