--- a/lab/src/cluster/measure.rs
+++ b/lab/src/cluster/measure.rs
@@ -1,7 +1,7 @@
 //! Measures the cost and speed of a cluster, in simulated time and on processes of the real program.
 
-use super::bed::{Clients, ProcessCluster};
 use super::links::Fault;
+use super::process_cluster::{Clients, ProcessCluster};
 use super::simulation::{LinkConditions, MILLISECOND, SECOND, SimulatedCluster, name};
 use crate::running::until;
 use pebbleturn::gossip::codec::{self, Datagram, Sender};
--- a/tests/cluster/processes.rs
+++ b/tests/cluster/processes.rs
@@ -8,8 +8,8 @@
 use pebbleturn::replication::{
     CommandValue, FactKey, FactValue, OperatorCommand, Origin, ProcessStart, Register,
 };
-use pebbleturn_lab::cluster::bed::*;
 use pebbleturn_lab::cluster::links::Fault;
+use pebbleturn_lab::cluster::process_cluster::*;
 use pebbleturn_lab::directory::{Directory, endpoint};
 use pebbleturn_lab::running::until;
 use rand_pcg::Pcg32;
--- a/tests/printed_formats/admin_endpoint.rs
+++ b/tests/printed_formats/admin_endpoint.rs
@@ -3,7 +3,7 @@
 use super::PROGRAM;
 use super::fixture;
 use super::placeholder::{Placeholders, hide_numbers};
-use pebbleturn_lab::cluster::bed::{ProcessCluster, name};
+use pebbleturn_lab::cluster::process_cluster::{ProcessCluster, name};
 use pebbleturn_lab::running::{Client, HANG_TIMEOUT, Site, until};
 use pebbleturn_lab::standins::Behaviour;
 use std::io::{Read, Write};
--- a/tests/races/dials.rs
+++ b/tests/races/dials.rs
@@ -1,7 +1,7 @@
 //! Calls that wait for a dial: the state may change between the choice of a server and the established
 //! connection.
 
-use super::bed::*;
+use super::fixture::*;
 use super::*;
 use pebbleturn_lab::standins::*;
 use std::net::TcpListener;
--- a/tests/races/ending.rs
+++ b/tests/races/ending.rs
@@ -1,6 +1,6 @@
 //! Graceful shutdown, from the signal to the earliest time at which the process may be killed.
 
-use super::bed::*;
+use super::fixture::*;
 use super::*;
 use pebbleturn_lab::standins::*;
 use std::io::Read;
--- a/tests/races/hangups.rs
+++ b/tests/races/hangups.rs
@@ -1,7 +1,7 @@
 //! Clients that disconnect while their request waits, also while the broker can't read from them; and
 //! connections that the broker closes with unread input.
 
-use super::bed::*;
+use super::fixture::*;
 use super::*;
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{Read, Write};
--- a/tests/races/main.rs
+++ b/tests/races/main.rs
@@ -2,12 +2,12 @@
 //! with a stand-in that holds, cuts or releases a connection at a stated byte or event. Time-outs only catch
 //! a hang.
 
-mod bed;
 #[path = "../fronts/clients.rs"]
 #[allow(dead_code)]
 mod clients;
 mod dials;
 mod ending;
+mod fixture;
 mod hangups;
 mod lists;
 mod settings;
