--- a/src/frontends/catalogue/downstream.rs
+++ b/src/frontends/catalogue/downstream.rs
@@ -24,7 +24,7 @@
 /// Most reads of one connection in a row, so that other connections get their turn.
 const MAX_CONSECUTIVE_READS: usize = 4;
 
-type CatalogueContext<'a> = FrontendContext<'a, SearchPayload, PartValue>;
+type Context<'a> = FrontendContext<'a, SearchPayload, PartValue>;
 
 /// What the response to a pending SRU search needs of its request.
 struct PendingSearch {
@@ -52,27 +52,27 @@
 }
 
 /// All client connections.
-pub struct Clients {
+pub struct Downstream {
     settings: CatalogueSettings,
     sru_owner: u8,
     clients: HashMap<ConnId, Client>,
     conn_by_query: HashMap<QueryId, ConnId>,
     slots: ConnectionSlots,
     /// Whether readiness checks fail and new sessions are rejected.
-    draining: bool,
+    not_ready: bool,
     /// Whether each response is the last on its connection.
     closing: bool,
 }
 
 impl session::Catalogue for CatalogueSettings {
     fn plan_search(&self, database: &str, search: Search) -> Result<(PlannedSearch, Nanos), Diagnostic> {
-        let o = &self.operator;
-        let found = o.database.iter().find(|d| d.name == database);
+        let operator = &self.operator;
+        let found = operator.database.iter().find(|d| d.name == database);
         let database = found.ok_or_else(|| Diagnostic::new(Condition::NoSuchDatabase, database))?;
-        let class = o.class.iter().position(|c| c.name == database.class).unwrap_or(0);
+        let class = operator.class.iter().position(|c| c.name == database.class).unwrap_or(0);
         let key = self.key_access.and_then(|a| search.key(a)).map(plan::key_hash);
-        let partitions = plan::partitions(o.partitions.count, o.partitions.per_key, key);
-        let time_limit = o.class[class].deadline_ms * 1_000_000;
+        let partitions = plan::partitions(operator.partitions.count, operator.partitions.per_key, key);
+        let time_limit = operator.class[class].deadline_ms * 1_000_000;
         Ok((PlannedSearch { search: Rc::new(search), class, key, partitions }, time_limit))
     }
 
@@ -85,21 +85,21 @@
     }
 }
 
-impl Clients {
+impl Downstream {
     /// No clients yet, and at most `max_clients`. Connections of the owner `sru_owner` speak SRU, all others
     /// Z39.50.
-    pub fn new(operator: OperatorConfig, sru_owner: u8, max_clients: usize) -> Clients {
+    pub fn new(operator: OperatorConfig, sru_owner: u8, max_clients: usize) -> Downstream {
         let key_access = operator.key_index().and_then(search::access_of);
         let (clients, conn_by_query) = (HashMap::new(), HashMap::new());
         let slots =
             ConnectionSlots::new(max_clients, max_clients, operator.limits.session_idle_s * 1_000_000_000);
-        Clients {
+        Downstream {
             settings: CatalogueSettings { operator, key_access },
             sru_owner,
             clients,
             conn_by_query,
             slots,
-            draining: false,
+            not_ready: false,
             closing: false,
         }
     }
@@ -110,7 +110,7 @@
     }
 
     /// Handles an event of a client connection.
-    pub fn on_event(&mut self, event: NetEvent, context: &mut CatalogueContext) {
+    pub fn on_event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Accepted { owner, conn, peer } => {
                 let reader = Reader::new(MessageKind::Request);
@@ -122,7 +122,7 @@
                 self.clients.insert(conn, Client { protocol, job: None, peer });
                 self.slots.add(conn, context.now);
                 self.read(conn, context);
-                self.make_room(context);
+                self.close_excess(context);
             }
             NetEvent::Readable { conn, .. } => self.read(conn, context),
             NetEvent::Broken { conn, .. } => self.on_closed(conn, context),
@@ -134,7 +134,7 @@
     }
 
     /// While there are too many connections, closes the first in the order of the connection slots.
-    fn make_room(&mut self, context: &mut CatalogueContext) {
+    fn close_excess(&mut self, context: &mut Context) {
         while context.net.accepted() > self.slots.max_connections() && !context.net.close_oldest_lingering() {
             let Some(conn) = self.slots.eviction_candidate() else { return };
             // A connection on which a request has arrived meanwhile is kept.
@@ -153,12 +153,12 @@
         }
     }
 
-    fn close(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn close(&mut self, conn: ConnId, context: &mut Context) {
         context.net.close(conn);
         self.on_closed(conn, context);
     }
 
-    fn on_closed(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn on_closed(&mut self, conn: ConnId, context: &mut Context) {
         self.slots.remove(conn);
         if let Some((query, _)) = self.clients.remove(&conn).and_then(|c| c.job) {
             self.conn_by_query.remove(&query);
@@ -166,7 +166,7 @@
         }
     }
 
-    fn read(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn read(&mut self, conn: ConnId, context: &mut Context) {
         for _ in 0..MAX_CONSECUTIVE_READS {
             let filled = context.net.fill(conn);
             let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -199,7 +199,7 @@
         context.net.requeue_readable(conn);
     }
 
-    fn close_with_warning(&mut self, conn: ConnId, why: &str, context: &mut CatalogueContext) {
+    fn close_with_warning(&mut self, conn: ConnId, why: &str, context: &mut Context) {
         if let Some(client) = self.clients.get(&conn) {
             tracing::warn!("client {} closed: {why}", client.peer);
         }
@@ -207,7 +207,7 @@
     }
 
     /// Handles buffered requests until one is pending or the data runs out.
-    fn process_input(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn process_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.job.is_none()) else { return };
             let reading = matches!(&client.protocol, ProtocolState::Sru { reader, .. } if !reader.is_idle());
@@ -226,7 +226,7 @@
 
     // ---- Z39.50 ----
 
-    fn process_z3950(&mut self, conn: ConnId, context: &mut CatalogueContext) -> bool {
+    fn process_z3950(&mut self, conn: ConnId, context: &mut Context) -> bool {
         let Some(Client { protocol: ProtocolState::Z3950(session), peer, .. }) = self.clients.get_mut(&conn)
         else {
             return false;
@@ -239,14 +239,14 @@
             Ok(Some(read)) => read,
             Err(e) => {
                 tracing::warn!("client {peer} closed: {e}");
-                let close = Session::close(CloseReason::ProtocolError, &e.to_string());
-                let close = session.is_open().then_some(close);
-                self.close_lingering(conn, close, context);
+                let closing_message = Session::closing_message(CloseReason::ProtocolError, &e.to_string());
+                let closing_message = session.is_open().then_some(closing_message);
+                self.close_lingering(conn, closing_message, context);
                 return false;
             }
         };
         context.net.consume(conn, size);
-        match session.handle_request(apdu, self.draining, context.now, &self.settings) {
+        match session.handle_request(apdu, self.not_ready, context.now, &self.settings) {
             Reply::Send(message) => self.send(conn, &message, context),
             Reply::SendAndClose(message) => {
                 self.send_and_close(conn, Some(message), context);
@@ -264,18 +264,18 @@
     }
 
     /// Sends a message. Returns false if that failed and the connection was closed.
-    fn send(&mut self, conn: ConnId, message: &[u8], context: &mut CatalogueContext) -> bool {
+    fn send(&mut self, conn: ConnId, message: &[u8], context: &mut Context) -> bool {
         let sent = context.net.send(conn, message).is_ok();
         if sent {
             self.slots.request_answered(conn, context.now);
         } else {
-            self.close_with_warning(conn, "it does not read its answers", context);
+            self.close_with_warning(conn, "it does not read its responses", context);
         }
         sent
     }
 
     /// Sends a last message, if any, and closes the connection once it is written.
-    fn send_and_close(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
+    fn send_and_close(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut Context) {
         if let Some(message) = message {
             let _ = context.net.send(conn, &message);
         }
@@ -284,7 +284,7 @@
     }
 
     /// Same as `send_and_close`, for a client that may still be sending a request.
-    fn close_lingering(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
+    fn close_lingering(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut Context) {
         if let Some(message) = message {
             let _ = context.net.send(conn, &message);
         }
@@ -294,24 +294,24 @@
 
     // ---- SRU ----
 
-    fn process_sru(&mut self, conn: ConnId, context: &mut CatalogueContext) -> bool {
+    fn process_sru(&mut self, conn: ConnId, context: &mut Context) -> bool {
         let Some(Client { protocol: ProtocolState::Sru { reader, keep_alive, .. }, peer, .. }) =
             self.clients.get_mut(&conn)
         else {
             return false;
         };
         let pool = context.net.pool().clone();
-        let before = reader.head().is_some();
-        let used = match reader.advance(context.net.data(conn), &pool) {
-            Ok(used) => used,
+        let had_head = reader.head().is_some();
+        let consumed = match reader.advance(context.net.data(conn), &pool) {
+            Ok(consumed) => consumed,
             Err(e) => {
                 tracing::warn!("client {peer} closed: {e}");
                 self.close_lingering(conn, Some(http::response(e.status(), &[], false, b"")), context);
                 return false;
             }
         };
-        context.net.consume(conn, used);
-        if reader.head().filter(|_| !before).is_some_and(|h| h.expects_continue) && !reader.is_done() {
+        context.net.consume(conn, consumed);
+        if reader.head().filter(|_| !had_head).is_some_and(|h| h.expects_continue) && !reader.is_done() {
             let _ = context.net.send(conn, b"HTTP/1.1 100 Continue\r\n\r\n");
         }
         if !reader.is_done() {
@@ -322,7 +322,7 @@
         true
     }
 
-    fn handle_sru_request(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn handle_sru_request(&mut self, conn: ConnId, context: &mut Context) {
         let Some(Client { protocol: ProtocolState::Sru { reader, .. }, .. }) = self.clients.get_mut(&conn)
         else {
             return;
@@ -333,7 +333,7 @@
         let databases = &self.settings.operator.database;
         let path = head.path().trim_start_matches('/');
         let status = match (head.method.as_str(), path) {
-            ("GET", "-/ready") if self.draining => 503,
+            ("GET", "-/ready") if self.not_ready => 503,
             ("GET", "-/ready" | "-/healthy") => 200,
             ("GET" | "POST", "") => 0,
             ("GET" | "POST", path) if databases.iter().any(|d| d.name == path) => 0,
@@ -406,7 +406,7 @@
         headers: &[(&str, &str)],
         d: &Diagnostic,
         version: &str,
-        context: &mut CatalogueContext,
+        context: &mut Context,
     ) {
         let response = sru::Response { diagnostics: vec![d.clone()], ..sru::Response::default() };
         let body = sru::write(&response, version, RecordPacking::Xml, 1);
@@ -421,7 +421,7 @@
         status: u16,
         headers: &[(&str, &str)],
         body: &[u8],
-        context: &mut CatalogueContext,
+        context: &mut Context,
     ) {
         let Some(Client { protocol: ProtocolState::Sru { reader, keep_alive, pending }, .. }) =
             self.clients.get_mut(&conn)
@@ -441,7 +441,7 @@
 
     // ---- jobs ----
 
-    fn submit(&mut self, conn: ConnId, job: Job, context: &mut CatalogueContext) {
+    fn submit(&mut self, conn: ConnId, job: Job, context: &mut Context) {
         let request = job.query_request(context.now);
         match context.engine.submit(context.now, request) {
             Ok(query) => {
@@ -463,7 +463,7 @@
         &mut self,
         query: QueryId,
         answer: QueryOutcome<PartValue>,
-        context: &mut CatalogueContext,
+        context: &mut Context,
     ) {
         let Some(conn) = self.conn_by_query.remove(&query) else { return };
         let Some(client) = self.clients.get_mut(&conn) else { return };
@@ -487,7 +487,7 @@
         }
     }
 
-    fn reject(&mut self, conn: ConnId, retry_after: Nanos, context: &mut CatalogueContext) {
+    fn reject(&mut self, conn: ConnId, retry_after: Nanos, context: &mut Context) {
         let text = http::retry_after(retry_after);
         let d = Diagnostic::new(Condition::TemporarilyUnavailable, format!("ask again after {text} s"));
         let headers: &[(&str, &str)] = if retry_after > 0 { &[("Retry-After", &text)] } else { &[] };
@@ -500,7 +500,7 @@
         status: u16,
         headers: &[(&str, &str)],
         d: Diagnostic,
-        context: &mut CatalogueContext,
+        context: &mut Context,
     ) {
         let message = match self.clients.get_mut(&conn).map(|c| &mut c.protocol) {
             None => return,
@@ -513,13 +513,7 @@
         self.respond_z3950(conn, message, context);
     }
 
-    fn complete(
-        &mut self,
-        conn: ConnId,
-        plan: &PlannedSearch,
-        outcome: SearchResult,
-        context: &mut CatalogueContext,
-    ) {
+    fn complete(&mut self, conn: ConnId, plan: &PlannedSearch, outcome: SearchResult, context: &mut Context) {
         let message = match self.clients.get_mut(&conn).map(|c| &mut c.protocol) {
             None => return,
             Some(ProtocolState::Sru { pending, .. }) => {
@@ -532,12 +526,12 @@
         self.respond_z3950(conn, message, context);
     }
 
-    fn respond_z3950(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut CatalogueContext) {
+    fn respond_z3950(&mut self, conn: ConnId, message: Option<Vec<u8>>, context: &mut Context) {
         let Some(message) = message else { return };
         if self.send(conn, &message, context) && self.closing {
             self.send_and_close(
                 conn,
-                Some(Session::close(CloseReason::Shutdown, "this broker ends")),
+                Some(Session::closing_message(CloseReason::Shutdown, "this broker ends")),
                 context,
             );
         }
@@ -546,7 +540,7 @@
     // ---- limits, drain and timers ----
 
     /// Sets the limit on client connections.
-    pub fn set_connection_limit(&mut self, max_clients: usize) {
+    pub fn set_max_connections(&mut self, max_clients: usize) {
         self.slots.set_limits(max_clients, max_clients);
     }
 
@@ -557,7 +551,7 @@
 
     /// Sets the result of readiness checks. While it is false, new Z39.50 sessions are rejected.
     pub fn set_ready(&mut self, ready: bool) {
-        self.draining = !ready;
+        self.not_ready = !ready;
     }
 
     /// Sets whether each response is the last on its connection.
@@ -566,7 +560,7 @@
     }
 
     /// Closes Z39.50 sessions without a pending request, once responses are the last on their connections.
-    pub fn close_sessions(&mut self, context: &mut CatalogueContext) {
+    pub fn close_sessions(&mut self, context: &mut Context) {
         let open = |c: &Client| matches!(&c.protocol, ProtocolState::Z3950(s) if s.is_open());
         let idle: Vec<ConnId> =
             self.clients.iter().filter(|(_, c)| open(c) && c.job.is_none()).map(|(conn, _)| *conn).collect();
@@ -576,7 +570,7 @@
             if self.clients.get(&conn).is_some_and(|c| c.job.is_none()) {
                 self.send_and_close(
                     conn,
-                    Some(Session::close(CloseReason::Shutdown, "this broker ends")),
+                    Some(Session::closing_message(CloseReason::Shutdown, "this broker ends")),
                     context,
                 );
             }
@@ -584,7 +578,7 @@
     }
 
     /// Closes connections without a pending request, after reading once more what has arrived.
-    pub fn close_idle(&mut self, context: &mut CatalogueContext) {
+    pub fn close_idle(&mut self, context: &mut Context) {
         let conns: Vec<ConnId> = self.clients.keys().copied().collect();
         for conn in conns {
             self.read(conn, context);
@@ -599,18 +593,18 @@
     }
 
     /// Closes connections that are over their time limit, or over the limit on connections.
-    pub fn tick(&mut self, context: &mut CatalogueContext) {
+    pub fn tick(&mut self, context: &mut Context) {
         if self.closing {
             self.close_sessions(context);
         }
         // Connections that have become idle may have to be closed for those that wait to be accepted.
-        self.make_room(context);
+        self.close_excess(context);
         while let Some(conn) = self.slots.overdue(context.now) {
             let Some(client) = self.clients.get(&conn) else { return self.slots.remove(conn) };
-            tracing::info!("client {} closed: no request within the time limit", client.peer);
+            tracing::info!("client {} closed: no complete request within the time limit", client.peer);
             let message = match &client.protocol {
                 ProtocolState::Z3950(s) => {
-                    s.is_open().then(|| Session::close(CloseReason::LackOfActivity, "nothing came"))
+                    s.is_open().then(|| Session::closing_message(CloseReason::LackOfActivity, "nothing came"))
                 }
                 ProtocolState::Sru { reader, .. } => {
                     let has_input = !reader.is_idle() || !context.net.data(conn).is_empty();
@@ -623,7 +617,7 @@
 
     /// When `tick` is next worth calling.
     pub fn next_deadline(&self) -> Option<Nanos> {
-        self.slots.due()
+        self.slots.next_deadline()
     }
 }
 
--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -1,8 +1,8 @@
 //! The catalogue frontend: joins clients, nodes and membership, and builds its broker.
 
-use super::downstream::Clients;
+use super::downstream::Downstream;
 use super::plan::{PartValue, SearchPayload};
-use super::upstream::Nodes;
+use super::upstream::Upstream;
 use crate::admin;
 use crate::api::Nanos;
 use crate::cluster;
@@ -42,14 +42,14 @@
 const FILE_POLL_INTERVAL: Nanos = 20_000_000;
 
 /// Descriptors reserved for other uses than clients and nodes.
-const SPARE_DESCRIPTORS: usize = 32;
+const RESERVED_DESCRIPTORS: usize = 32;
 /// Most memory for buffers.
 const MAX_BUFFER_BYTES: usize = 48 << 20;
 
 /// The catalogue frontend: clients and index nodes, each of which speaks SRU or Z39.50.
 pub struct CatalogueFrontend {
-    clients: Clients,
-    nodes: Nodes,
+    clients: Downstream,
+    nodes: Upstream,
     membership: MembershipDriver,
     files: NodeFiles,
     /// Most connections to nodes, even if more descriptors are free.
@@ -155,14 +155,14 @@
         kinds: [Protocol::Sru, Protocol::Z3950].map(|p| p.name().to_owned()).into(),
         seed,
     });
-    let limits = SharedLimits {
+    let shared_limits = SharedLimits {
         descriptors: operator.limits.sockets,
         max_in_flight: settings.max_in_flight as usize,
         retry_budget_window: settings.retry_budget.map_or(0, |b| b.window),
     };
-    let hot_restart =
-        operator.operation.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, limits, now));
-    if let Some(joined) = &hot_restart {
+    let hot_restart_group =
+        operator.operation.hand_over.as_deref().and_then(|dir| HotRestart::open(dir, shared_limits, now));
+    if let Some(joined) = &hot_restart_group {
         registry.restore(&joined.snapshots, now);
     }
     registry.restore(&snapshots, now);
@@ -188,7 +188,7 @@
         warm_up: operator.routing.warm_up_ms * 1_000_000,
         failback_delay: operator.routing.hold_ms * 1_000_000,
     });
-    let suspended = hot_restart
+    let suspended = hot_restart_group
         .iter()
         .flat_map(|joined| joined.overrides.suspended_servers())
         .map(str::to_owned)
@@ -213,7 +213,7 @@
             .cluster
             .as_ref()
             .map_or(0, |_| cluster::MAX_PEER_CONNECTIONS + cluster::RESERVED_DESCRIPTORS);
-    let available = operator.limits.sockets - SPARE_DESCRIPTORS - reserved;
+    let available = operator.limits.sockets - RESERVED_DESCRIPTORS - reserved;
     let nodes_may_change = m.discovery.is_some() || files.path.is_some();
     let needed = node_count * operator.limits.connections_per_node;
     let node_connections = if nodes_may_change { available / 2 } else { needed };
@@ -224,7 +224,7 @@
     let mut net = PollLoop::new(Pool::with_byte_limit(MAX_BUFFER_BYTES), available - node_connections)
         .map_err(BrokerError::io("poll"))?;
     let mut nodes =
-        Nodes::new(NODES, &operator.partitions.database, operator.limits.clone(), node_connections);
+        Upstream::new(NODES, &operator.partitions.database, operator.limits.clone(), node_connections);
     let mut context = FrontendContext { now, net: &mut net, engine: &mut engine };
     membership.propagate_changes(&mut context, |c| nodes.update_node(c));
     // The engine has the list of nodes before the first client connects.
@@ -242,16 +242,16 @@
         tracing::info!("{} listens at {addr} for {:?}", operator.name, listener.protocol);
         addrs.push(addr);
     }
-    let (admin_addr, cluster, name) =
+    let (admin_address, cluster, name) =
         (operator.operation.listen, operator.cluster.clone(), operator.name.clone());
-    let clients = Clients::new(operator, SRU, available - node_connections);
+    let clients = Downstream::new(operator, SRU, available - node_connections);
     let frontend =
         CatalogueFrontend { clients, nodes, membership, files, max_node_connections: node_connections };
     let mut broker = BrokerBuilder::new(clock, net, engine, frontend);
-    if let Some(admin_addr) = admin_addr {
-        broker.listen_admin(admin_addr);
+    if let Some(admin_address) = admin_address {
+        broker.listen_admin(admin_address);
     }
-    if let Some(joined) = hot_restart {
+    if let Some(joined) = hot_restart_group {
         broker.join_hot_restart(joined.hot_restart, joined.overrides);
     }
     if let Some(cluster) = cluster {
@@ -291,7 +291,7 @@
         match action {
             EngineAction::Call { replica, parts } => self.nodes.call(replica, parts, context),
             EngineAction::CancelAttempt { replica, attempt } => {
-                self.nodes.cancel(replica, attempt, context.now)
+                self.nodes.cancel_attempt(replica, attempt, context.now)
             }
             EngineAction::Respond { query, outcome: answer } => {
                 self.clients.on_query_outcome(query, answer, context)
@@ -361,8 +361,8 @@
         let node_connections = (self.nodes.connection_count() + remaining / 2).min(self.max_node_connections);
         let max_clients =
             net.accepted() + remaining - (node_connections - self.nodes.connection_count()).min(remaining);
-        self.nodes.set_connection_limit(node_connections.max(1));
-        self.clients.set_connection_limit(max_clients);
+        self.nodes.set_max_connections(node_connections.max(1));
+        self.clients.set_max_connections(max_clients);
         net.set_accepted_limit(max_clients);
     }
 
--- a/src/frontends/catalogue/node_session.rs
+++ b/src/frontends/catalogue/node_session.rs
@@ -125,11 +125,11 @@
 
     /// The message to send before the connection is closed, if the protocol has one.
     pub fn closing_message(&self) -> Option<Vec<u8>> {
-        let words = "idle".into();
+        let text = "idle".into();
         let close = Apdu::Close {
             reference: None,
             reason: CloseReason::Finished as i64,
-            diagnostic_information: words,
+            diagnostic_information: text,
         };
         matches!(self.protocol_state, ProtocolState::Z3950 { initialized: true }).then(|| close.encode())
     }
@@ -175,11 +175,11 @@
     /// Handles received data. Returns how many bytes were consumed, and what to do next.
     pub fn receive(&mut self, data: &[u8], pool: &Pool) -> Result<(usize, Step), SessionError> {
         let NodeSession { protocol_state, task, closing } = self;
-        let (used, step) = match protocol_state {
+        let (consumed, step) = match protocol_state {
             ProtocolState::Sru { reader, host } => {
-                let used = reader.advance(data, pool).map_err(|e| SessionError(e.to_string()))?;
+                let consumed = reader.advance(data, pool).map_err(|e| SessionError(e.to_string()))?;
                 if !reader.is_done() {
-                    return Ok((used, Step::Wait));
+                    return Ok((consumed, Step::Wait));
                 }
                 let task = task.as_mut().ok_or(SessionError("unsolicited response".into()))?;
                 let step = handle_sru_response(reader, task, host)?;
@@ -188,7 +188,7 @@
                 if *closing && matches!(step, Step::Send(_)) {
                     return Err(SessionError("the node closed the connection between two pages".into()));
                 }
-                (used, step)
+                (consumed, step)
             }
             ProtocolState::Z3950 { initialized } => {
                 let session_error = |e: ber::BerError| SessionError(e.to_string());
@@ -200,7 +200,7 @@
         if matches!(step, Step::Done(_)) {
             *task = None;
         }
-        Ok((used, step))
+        Ok((consumed, step))
     }
 }
 
@@ -257,11 +257,11 @@
         Some(d) => return Ok(diagnostic_step(d)),
         None => {}
     }
-    let before = task.items.len();
+    let previous_count = task.items.len();
     task.total = Some(response.total);
     task.add_items(response.items);
     // A node may return fewer records than requested, but a response without any is the last.
-    if task.next_count() == 0 || task.items.len() == before {
+    if task.next_count() == 0 || task.items.len() == previous_count {
         return Ok(task.finish());
     }
     sru_request(task, host).map(Step::Send).map_err(|d| SessionError(d.to_string()))
@@ -310,9 +310,9 @@
                 Records::Diagnostic(d) => return Ok(diagnostic_step(d)),
                 Records::None => vec![],
             };
-            let none = records.is_empty();
+            let is_empty = records.is_empty();
             task.add_items(records.into_iter().map(to_item).collect());
-            Ok(if none || task.next_count() == 0 { task.finish() } else { present_request(task) })
+            Ok(if is_empty || task.next_count() == 0 { task.finish() } else { present_request(task) })
         }
         Apdu::Close { reason, diagnostic_information, .. } => {
             Err(SessionError(format!("closed by the node, reason {reason} {diagnostic_information:?}")))
--- a/src/frontends/catalogue/session.rs
+++ b/src/frontends/catalogue/session.rs
@@ -80,22 +80,25 @@
     }
 
     /// The message that ends the session.
-    pub fn close(reason: CloseReason, words: &str) -> Vec<u8> {
-        Apdu::Close { reference: None, reason: reason as i64, diagnostic_information: words.into() }.encode()
+    pub fn closing_message(reason: CloseReason, text: &str) -> Vec<u8> {
+        Apdu::Close { reference: None, reason: reason as i64, diagnostic_information: text.into() }.encode()
     }
 
     /// Handles a request. The next one must not be passed before the response to this one is sent.
     pub fn handle_request(
         &mut self,
         apdu: Apdu,
-        draining: bool,
+        not_ready: bool,
         now: Nanos,
         catalogue: &impl Catalogue,
     ) -> Reply {
-        let protocol_error = |words| Reply::SendAndClose(Session::close(CloseReason::ProtocolError, words));
+        let protocol_error =
+            |text| Reply::SendAndClose(Session::closing_message(CloseReason::ProtocolError, text));
         match apdu {
-            Apdu::InitRequest(r) if !self.open => self.init(r, draining),
-            Apdu::Close { .. } if self.open => Reply::SendAndClose(Session::close(CloseReason::Finished, "")),
+            Apdu::InitRequest(r) if !self.open => self.init(r, not_ready),
+            Apdu::Close { .. } if self.open => {
+                Reply::SendAndClose(Session::closing_message(CloseReason::Finished, ""))
+            }
             Apdu::Close { .. } => Reply::Close,
             _ if !self.open => protocol_error("Init comes first"),
             Apdu::SearchRequest(r) => self.search(r, now, catalogue),
@@ -119,12 +122,12 @@
         }
     }
 
-    fn init(&mut self, r: InitRequest, draining: bool) -> Reply {
+    fn init(&mut self, r: InitRequest, not_ready: bool) -> Reply {
         let intersect = |a: &[u8], b: &[u8]| a.iter().zip(b).map(|(a, b)| a & b).collect::<Vec<u8>>();
         let agree_size = |n: i64| usize::try_from(n).unwrap_or(0).clamp(MIN_MESSAGE_BYTES, MAX_MESSAGE_BYTES);
         let versions = intersect(&r.versions, &VERSIONS);
         // The services offered here need version 2 or later.
-        let accepted = !draining && versions.first().is_some_and(|v| v & 0b0110_0000 != 0);
+        let accepted = !not_ready && versions.first().is_some_and(|v| v & 0b0110_0000 != 0);
         self.version3 = versions.first().is_some_and(|v| v & 0b0010_0000 != 0);
         (self.message_size, self.largest_record) =
             (agree_size(r.preferred_size), agree_size(r.largest_record));
--- a/src/frontends/catalogue/upstream.rs
+++ b/src/frontends/catalogue/upstream.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 
 /// Time within which a cancelled search must be answered before its connection is closed, ns.
-const ABANDONED_RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
+const CANCELLED_RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
 
-type CatalogueContext<'a> = FrontendContext<'a, SearchPayload, PartValue>;
+type Context<'a> = FrontendContext<'a, SearchPayload, PartValue>;
 
 /// A part that is queued until a connection is free.
 struct QueuedPart {
@@ -24,7 +24,7 @@
 }
 
 /// A part whose request is in flight.
-struct SentPart {
+struct PartInFlight {
     /// None once the attempt is cancelled.
     attempt: Option<AttemptId>,
     /// Position of the end of its request among all bytes written on the connection.
@@ -37,9 +37,9 @@
 struct NodeConnection {
     replica: ReplicaId,
     session: NodeSession,
-    in_flight: Option<SentPart>,
+    in_flight: Option<PartInFlight>,
     /// When it must be ready at the latest; none once it is ready.
-    ready_by: Option<Nanos>,
+    ready_deadline: Option<Nanos>,
     last_used: Nanos,
 }
 
@@ -51,11 +51,11 @@
 }
 
 /// All index nodes and the connections to them.
-pub struct Nodes {
+pub struct Upstream {
     owner: u8,
     nodes: BTreeMap<ReplicaId, Node>,
     connections: BTreeMap<ConnId, NodeConnection>,
-    by_attempt: HashMap<AttemptId, ConnId>,
+    conn_by_attempt: HashMap<AttemptId, ConnId>,
     database: String,
     limits: Limits,
     /// Most connections to all nodes together.
@@ -64,14 +64,14 @@
     orphaned: Vec<AttemptId>,
 }
 
-impl Nodes {
+impl Upstream {
     /// No nodes yet. At most `max_connections` connections are opened, all under `owner` at the poll loop.
-    pub fn new(owner: u8, database: &str, limits: Limits, max_connections: usize) -> Nodes {
-        Nodes {
+    pub fn new(owner: u8, database: &str, limits: Limits, max_connections: usize) -> Upstream {
+        Upstream {
             owner,
             nodes: BTreeMap::new(),
             connections: BTreeMap::new(),
-            by_attempt: HashMap::new(),
+            conn_by_attempt: HashMap::new(),
             database: database.into(),
             limits,
             max_connections,
@@ -85,7 +85,7 @@
     }
 
     /// Limits the number of connections. Open ones are kept.
-    pub fn set_connection_limit(&mut self, max_connections: usize) {
+    pub fn set_max_connections(&mut self, max_connections: usize) {
         self.max_connections = max_connections;
     }
 
@@ -111,7 +111,7 @@
         &mut self,
         replica: ReplicaId,
         parts: Vec<AttemptRequest<SearchPayload>>,
-        context: &mut CatalogueContext,
+        context: &mut Context,
     ) {
         for p in parts {
             let Some(run) = p.payload.ranges.iter().find(|r| r.partition == p.shard) else { continue };
@@ -126,7 +126,7 @@
     }
 
     /// Sends queued parts on free connections, and dials further ones where there are too few.
-    fn send_queued(&mut self, replica: ReplicaId, context: &mut CatalogueContext) {
+    fn send_queued(&mut self, replica: ReplicaId, context: &mut Context) {
         loop {
             let Some(node) = self.nodes.get_mut(&replica) else { return };
             if node.queue.is_empty() {
@@ -134,9 +134,9 @@
             }
             let to_node = || self.connections.iter().filter(|(_, c)| c.replica == replica);
             let free =
-                to_node().find(|(_, c)| c.ready_by.is_none() && c.in_flight.is_none()).map(|(c, _)| *c);
+                to_node().find(|(_, c)| c.ready_deadline.is_none() && c.in_flight.is_none()).map(|(c, _)| *c);
             let (total, dialing) =
-                (to_node().count(), to_node().filter(|(_, c)| c.ready_by.is_some()).count());
+                (to_node().count(), to_node().filter(|(_, c)| c.ready_deadline.is_some()).count());
             let Some(conn) = free else {
                 if dialing >= node.queue.len() || total >= self.limits.connections_per_node {
                     return;
@@ -166,13 +166,13 @@
                         continue;
                     }
                     let request_end = context.net.queued(conn);
-                    connection.in_flight = Some(SentPart {
+                    connection.in_flight = Some(PartInFlight {
                         attempt: Some(attempt),
                         request_end,
                         written: false,
                         cancelled_at: 0,
                     });
-                    self.by_attempt.insert(attempt, conn);
+                    self.conn_by_attempt.insert(attempt, conn);
                     let flushed = context.net.flushed(conn);
                     self.on_written(conn, flushed, context);
                 }
@@ -181,7 +181,7 @@
     }
 
     /// Reports an attempt to the engine, once, when the first `flushed` bytes include its whole request.
-    fn on_written(&mut self, conn: ConnId, flushed: u64, context: &mut CatalogueContext) {
+    fn on_written(&mut self, conn: ConnId, flushed: u64, context: &mut Context) {
         let in_flight = self.connections.get_mut(&conn).and_then(|c| c.in_flight.as_mut());
         if let Some(in_flight) = in_flight.filter(|r| flushed >= r.request_end && !r.written) {
             in_flight.written = true;
@@ -189,7 +189,7 @@
         }
     }
 
-    fn dial(&mut self, replica: ReplicaId, context: &mut CatalogueContext) -> bool {
+    fn dial(&mut self, replica: ReplicaId, context: &mut Context) -> bool {
         // Keeps to the limit on descriptors: an idle connection to another node is closed first, and without
         // one no connection is opened.
         if self.connections.len() >= self.max_connections && !self.close_longest_idle(context) {
@@ -203,10 +203,16 @@
         match context.net.dial(node.addr, self.owner) {
             Ok(conn) => {
                 let session = NodeSession::new(node.protocol, node.addr.to_string());
-                let ready_by = Some(context.now + self.limits.dial_timeout_ms * 1_000_000);
+                let ready_deadline = Some(context.now + self.limits.dial_timeout_ms * 1_000_000);
                 self.connections.insert(
                     conn,
-                    NodeConnection { replica, session, in_flight: None, ready_by, last_used: context.now },
+                    NodeConnection {
+                        replica,
+                        session,
+                        in_flight: None,
+                        ready_deadline,
+                        last_used: context.now,
+                    },
                 );
                 true
             }
@@ -217,15 +223,16 @@
         }
     }
 
-    fn close_longest_idle(&mut self, context: &mut CatalogueContext) -> bool {
-        let idle = self.connections.iter().filter(|(_, c)| c.ready_by.is_none() && c.in_flight.is_none());
+    fn close_longest_idle(&mut self, context: &mut Context) -> bool {
+        let idle =
+            self.connections.iter().filter(|(_, c)| c.ready_deadline.is_none() && c.in_flight.is_none());
         let Some(conn) = idle.min_by_key(|(_, c)| c.last_used).map(|(c, _)| *c) else { return false };
         self.close_gracefully(conn, context);
         true
     }
 
     /// Closes a connection, with the protocol's closing message unless a request is in flight.
-    fn close_gracefully(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn close_gracefully(&mut self, conn: ConnId, context: &mut Context) {
         let connection = self.connections.get(&conn);
         if let Some(message) =
             connection.filter(|c| c.in_flight.is_none()).and_then(|c| c.session.closing_message())
@@ -235,7 +242,7 @@
         self.close(conn, context);
     }
 
-    fn fail_queued(&mut self, replica: ReplicaId, outcome: Outcome, context: &mut CatalogueContext) {
+    fn fail_queued(&mut self, replica: ReplicaId, outcome: Outcome, context: &mut Context) {
         let Some(node) = self.nodes.get_mut(&replica) else { return };
         for q in node.queue.drain(..) {
             context.engine.attempt_ended(context.now, q.attempt, attempt_outcome(Err(outcome)));
@@ -243,18 +250,18 @@
     }
 
     /// Cancels an attempt. Neither protocol can cancel a request that was sent: its response is discarded.
-    pub fn cancel(&mut self, replica: ReplicaId, attempt: AttemptId, now: Nanos) {
+    pub fn cancel_attempt(&mut self, replica: ReplicaId, attempt: AttemptId, now: Nanos) {
         if let Some(node) = self.nodes.get_mut(&replica) {
             node.queue.retain(|q| q.attempt != attempt);
         }
-        let conn = self.by_attempt.remove(&attempt);
+        let conn = self.conn_by_attempt.remove(&attempt);
         if let Some(r) = conn.and_then(|c| self.connections.get_mut(&c)).and_then(|c| c.in_flight.as_mut()) {
             (r.attempt, r.cancelled_at) = (None, now);
         }
     }
 
     /// Handles an event of a connection to a node.
-    pub fn on_event(&mut self, event: NetEvent, context: &mut CatalogueContext) {
+    pub fn on_event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Connected { conn, .. } => {
                 let Some(connection) = self.connections.get_mut(&conn) else { return };
@@ -276,15 +283,15 @@
         }
     }
 
-    fn on_ready(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn on_ready(&mut self, conn: ConnId, context: &mut Context) {
         if let Some(connection) = self.connections.get_mut(&conn) {
-            connection.ready_by = None;
+            connection.ready_deadline = None;
             let replica = connection.replica;
             self.send_queued(replica, context);
         }
     }
 
-    fn read(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn read(&mut self, conn: ConnId, context: &mut Context) {
         while self.connections.contains_key(&conn) {
             match context.net.fill(conn) {
                 ReadOutcome::Read(_) => self.process_input(conn, context),
@@ -303,15 +310,15 @@
         }
     }
 
-    fn process_input(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn process_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
             let Some(connection) = self.connections.get_mut(&conn) else { return };
             let pool = context.net.pool().clone();
-            let (used, step) = match connection.session.receive(context.net.data(conn), &pool) {
-                Ok(taken) => taken,
+            let (consumed, step) = match connection.session.receive(context.net.data(conn), &pool) {
+                Ok(received) => received,
                 Err(why) => return self.close_on_error(conn, &why.0, context),
             };
-            context.net.consume(conn, used);
+            context.net.consume(conn, consumed);
             match step {
                 Step::Wait => return,
                 Step::Ready => self.on_ready(conn, context),
@@ -335,21 +342,16 @@
         }
     }
 
-    fn on_part_done(
-        &mut self,
-        conn: ConnId,
-        value: Result<PartValue, Outcome>,
-        context: &mut CatalogueContext,
-    ) {
+    fn on_part_done(&mut self, conn: ConnId, value: Result<PartValue, Outcome>, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         connection.last_used = context.now;
         if let Some(attempt) = connection.in_flight.take().and_then(|r| r.attempt) {
-            self.by_attempt.remove(&attempt);
+            self.conn_by_attempt.remove(&attempt);
             context.engine.attempt_ended(context.now, attempt, attempt_outcome(value));
         }
     }
 
-    fn close_on_error(&mut self, conn: ConnId, why: &str, context: &mut CatalogueContext) {
+    fn close_on_error(&mut self, conn: ConnId, why: &str, context: &mut Context) {
         if let Some(node) = self.connections.get(&conn).and_then(|c| self.nodes.get(&c.replica)) {
             tracing::warn!("connection to node {} closed: {why}", node.id);
         }
@@ -357,7 +359,7 @@
         self.on_closed(conn, Outcome::InvalidResponse, context);
     }
 
-    fn close(&mut self, conn: ConnId, context: &mut CatalogueContext) {
+    fn close(&mut self, conn: ConnId, context: &mut Context) {
         let flushed = context.net.flushed(conn);
         context.net.close(conn);
         self.on_broken(conn, flushed, context);
@@ -365,7 +367,7 @@
 
     /// Handles the loss of a connection. A part whose request was not written whole did not run; any other
     /// may have. If the connection was never established and no other is, queued parts fail as well.
-    fn on_broken(&mut self, conn: ConnId, flushed: u64, context: &mut CatalogueContext) {
+    fn on_broken(&mut self, conn: ConnId, flushed: u64, context: &mut Context) {
         self.on_written(conn, flushed, context);
         let request_end =
             self.connections.get(&conn).and_then(|c| c.in_flight.as_ref()).map_or(0, |r| r.request_end);
@@ -373,16 +375,17 @@
         self.on_closed(conn, outcome, context);
     }
 
-    fn on_closed(&mut self, conn: ConnId, outcome: Outcome, context: &mut CatalogueContext) {
+    fn on_closed(&mut self, conn: ConnId, outcome: Outcome, context: &mut Context) {
         let Some(connection) = self.connections.remove(&conn) else { return };
         if let Some(attempt) = connection.in_flight.and_then(|r| r.attempt) {
-            self.by_attempt.remove(&attempt);
+            self.conn_by_attempt.remove(&attempt);
             context.engine.attempt_ended(context.now, attempt, attempt_outcome(Err(outcome)));
         }
         // Ends dials to a node that can't be reached. If the queue were kept while another dial is under way,
         // each of two dials that fails would be replaced by another, for as long as the query lasts.
-        let up = self.connections.values().any(|c| c.replica == connection.replica && c.ready_by.is_none());
-        if connection.ready_by.is_some() && !up {
+        let has_established =
+            self.connections.values().any(|c| c.replica == connection.replica && c.ready_deadline.is_none());
+        if connection.ready_deadline.is_some() && !has_established {
             self.fail_queued(connection.replica, Outcome::ConnectFailed, context);
         } else {
             self.send_queued(connection.replica, context);
@@ -391,7 +394,7 @@
 
     /// Closes connections that are not established in time, whose cancelled search is not answered in time,
     /// or that were idle for too long.
-    pub fn tick(&mut self, context: &mut CatalogueContext) {
+    pub fn tick(&mut self, context: &mut Context) {
         let now = context.now;
         let expired: Vec<ConnId> =
             self.connections.iter().filter(|(_, c)| self.expires_at(c) <= now).map(|(c, _)| *c).collect();
@@ -404,10 +407,10 @@
     }
 
     fn expires_at(&self, c: &NodeConnection) -> Nanos {
-        match (c.ready_by, &c.in_flight) {
+        match (c.ready_deadline, &c.in_flight) {
             (Some(t), _) => t,
-            (None, Some(SentPart { attempt: None, cancelled_at, .. })) => {
-                cancelled_at + ABANDONED_RESPONSE_TIMEOUT
+            (None, Some(PartInFlight { attempt: None, cancelled_at, .. })) => {
+                cancelled_at + CANCELLED_RESPONSE_TIMEOUT
             }
             (None, Some(_)) => Nanos::MAX,
             // Nothing more is sent to a removed node.
--- a/src/frontends/connection_slots.rs
+++ b/src/frontends/connection_slots.rs
@@ -134,7 +134,7 @@
     }
 
     /// When the next connection exceeds its time limit.
-    pub fn due(&self) -> Option<Nanos> {
+    pub fn next_deadline(&self) -> Option<Nanos> {
         WAIT_STATES.iter().filter_map(|s| Some(self.waiting[*s as usize].first()?.0 + self.timeout(*s))).min()
     }
 
--- a/src/frontends/platform/downstream.rs
+++ b/src/frontends/platform/downstream.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 
 /// Maximum number of reads from one connection before the others get their turn.
-const MAX_READS: usize = 4;
+const MAX_CONSECUTIVE_READS: usize = 4;
 
 struct Client {
     reader: Reader,
@@ -32,7 +32,7 @@
     names: Names,
     shards: u32,
     clients: HashMap<ConnId, Client>,
-    by_query: HashMap<QueryId, ConnId>,
+    conn_by_query: HashMap<QueryId, ConnId>,
     slots: ConnectionSlots,
     recent_ids: RecentRequestIds,
     /// Whether readiness checks fail, and the drain phase, which determines how clients are treated.
@@ -45,12 +45,13 @@
 impl Downstream {
     /// The client side. `names` resolves classes and tenants, and `slots` limits the connections.
     pub fn new(names: Names, shards: u32, slots: ConnectionSlots) -> Downstream {
-        let (clients, by_query, recent_ids) = (HashMap::new(), HashMap::new(), RecentRequestIds::default());
+        let (clients, conn_by_query, recent_ids) =
+            (HashMap::new(), HashMap::new(), RecentRequestIds::default());
         Downstream {
             names,
             shards,
             clients,
-            by_query,
+            conn_by_query,
             slots,
             recent_ids,
             not_ready: false,
@@ -86,12 +87,12 @@
     }
 
     /// When `tick` is next worth calling.
-    pub fn due(&self) -> Option<Nanos> {
-        self.slots.due()
+    pub fn next_deadline(&self) -> Option<Nanos> {
+        self.slots.next_deadline()
     }
 
     /// Handles an event of one of the connections.
-    pub fn event(&mut self, event: NetEvent, context: &mut Context) {
+    pub fn on_event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Accepted { conn, peer, .. } => {
                 let reader = Reader::new(MessageKind::Request);
@@ -101,7 +102,7 @@
                 self.close_excess(context);
             }
             NetEvent::Readable { conn, .. } => self.read(conn, context),
-            NetEvent::Broken { conn, .. } => self.forget(conn, context),
+            NetEvent::Broken { conn, .. } => self.on_closed(conn, context),
             NetEvent::Flushed { .. }
             | NetEvent::Connected { .. }
             | NetEvent::Datagrams { .. }
@@ -118,8 +119,8 @@
             if self.slots.eviction_candidate() == Some(conn) {
                 tracing::debug!("client connection closed to make room");
                 if self.slots.may_have_request(conn) {
-                    let wait = context.engine.overloaded().retry_after;
-                    self.close_with_response(conn, &http::service_unavailable(wait), context);
+                    let retry_after = context.engine.overloaded().retry_after;
+                    self.close_with_response(conn, &http::service_unavailable(retry_after), context);
                 } else {
                     self.close(conn, context);
                 }
@@ -129,24 +130,24 @@
 
     fn close(&mut self, conn: ConnId, context: &mut Context) {
         context.net.close(conn);
-        self.forget(conn, context);
+        self.on_closed(conn, context);
     }
 
-    fn forget(&mut self, conn: ConnId, context: &mut Context) {
+    fn on_closed(&mut self, conn: ConnId, context: &mut Context) {
         self.slots.remove(conn);
         if let Some(query) = self.clients.remove(&conn).and_then(|c| c.query) {
-            self.by_query.remove(&query);
+            self.conn_by_query.remove(&query);
             context.engine.client_disconnected(query);
         }
     }
 
     fn read(&mut self, conn: ConnId, context: &mut Context) {
-        for _ in 0..MAX_READS {
+        for _ in 0..MAX_CONSECUTIVE_READS {
             match context.net.fill(conn) {
-                ReadOutcome::Read(_) => self.parse_input(conn, context),
+                ReadOutcome::Read(_) => self.process_input(conn, context),
                 // Once the buffer is full, requests that were pipelined behind an open one stay unread.
                 ReadOutcome::BufferFull => {
-                    self.parse_input(conn, context);
+                    self.process_input(conn, context);
                     if self.clients.get(&conn).is_none_or(|c| c.query.is_some()) {
                         return self.close_if_ended(conn, context);
                     }
@@ -185,7 +186,7 @@
     }
 
     /// Parses the received data and handles requests until one has to wait for its answer.
-    fn parse_input(&mut self, conn: ConnId, context: &mut Context) {
+    fn process_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
             let Some(client) = self.clients.get_mut(&conn).filter(|c| c.query.is_none()) else { return };
             let pool = context.net.pool().clone();
@@ -197,8 +198,8 @@
                     if self.free_buffer(conn, context) {
                         continue;
                     }
-                    let wait = context.engine.overloaded().retry_after;
-                    return self.close_with_response(conn, &http::service_unavailable(wait), context);
+                    let retry_after = context.engine.overloaded().retry_after;
+                    return self.close_with_response(conn, &http::service_unavailable(retry_after), context);
                 }
                 Err(e) => return self.reject_malformed(conn, e, context),
             };
@@ -228,7 +229,7 @@
     fn close_with_response(&mut self, conn: ConnId, message: &[u8], context: &mut Context) {
         let _ = context.net.send(conn, message);
         context.net.close_lingering(conn, context.now);
-        self.forget(conn, context);
+        self.on_closed(conn, context);
     }
 
     fn handle_request(&mut self, conn: ConnId, context: &mut Context) {
@@ -240,13 +241,13 @@
             ("POST", "/api") => match query::read(head, client.reader.body(), &self.names, self.shards) {
                 Err(why) => {
                     tracing::info!("invalid request of client {}: {why}", client.peer);
-                    return self.reply(conn, 400, &[], why.as_bytes(), context);
+                    return self.respond(conn, 400, &[], why.as_bytes(), context);
                 }
                 Ok(request) if self.recent_ids.contains(&request.payload.id) => {
                     tracing::info!("request of client {} repeats a recent request id", client.peer);
-                    return self.reply(conn, 409, &[], b"this Req-Id was used", context);
+                    return self.respond(conn, 409, &[], b"this Req-Id was used", context);
                 }
-                Ok(request) => return self.submit_query(conn, request, context),
+                Ok(request) => return self.submit(conn, request, context),
             },
             ("GET", "/-/ready") => (if self.not_ready { 503 } else { 200 }, ""),
             ("GET", "/-/healthy") => (200, ""),
@@ -255,10 +256,10 @@
             _ => (404, ""),
         };
         let headers: &[(&str, &str)] = if allow.is_empty() { &[] } else { &[("Allow", allow)] };
-        self.reply(conn, status, headers, b"", context);
+        self.respond(conn, status, headers, b"", context);
     }
 
-    fn submit_query(&mut self, conn: ConnId, request: QueryRequest<RequestContext>, context: &mut Context) {
+    fn submit(&mut self, conn: ConnId, request: QueryRequest<RequestContext>, context: &mut Context) {
         let id = request.payload.id.clone();
         match context.engine.submit(context.now, request) {
             Ok(query) => {
@@ -268,24 +269,24 @@
                     client.reader.reset();
                 }
                 self.recent_ids.insert(context.now, id);
-                self.by_query.insert(query, conn);
+                self.conn_by_query.insert(query, conn);
                 self.slots.query_admitted(conn);
             }
-            Err(refused) => {
+            Err(rejected) => {
                 tracing::info!("query rejected: the limit on open queries is reached");
-                self.refuse(conn, refused.retry_after, context);
+                self.reject(conn, rejected.retry_after, context);
             }
         }
     }
 
-    fn refuse(&mut self, conn: ConnId, wait: Nanos, context: &mut Context) {
-        let text = http::retry_after(wait);
-        let headers: &[(&str, &str)] = if wait > 0 { &[("Retry-After", &text)] } else { &[] };
-        self.reply(conn, 503, headers, b"", context);
+    fn reject(&mut self, conn: ConnId, retry_after: Nanos, context: &mut Context) {
+        let text = http::retry_after(retry_after);
+        let headers: &[(&str, &str)] = if retry_after > 0 { &[("Retry-After", &text)] } else { &[] };
+        self.respond(conn, 503, headers, b"", context);
     }
 
     /// Writes a response, and prepares for the next request or closes the connection.
-    fn reply(
+    fn respond(
         &mut self,
         conn: ConnId,
         status: u16,
@@ -307,20 +308,20 @@
             // The client may have sent more data; closing at once could reset the connection and lose the
             // response.
             context.net.close_lingering(conn, context.now);
-            self.forget(conn, context);
+            self.on_closed(conn, context);
         } else {
             self.slots.request_answered(conn, context.now);
         }
     }
 
     /// Sends the final outcome of a query to the client that waits for it.
-    pub fn finish(
+    pub fn on_query_outcome(
         &mut self,
         query: QueryId,
         answer: QueryOutcome<String>,
         context: &mut FrontendContext<RequestContext, String>,
     ) {
-        let Some(conn) = self.by_query.remove(&query) else { return };
+        let Some(conn) = self.conn_by_query.remove(&query) else { return };
         if let Some(client) = self.clients.get_mut(&conn) {
             (client.query, client.id) = (None, None);
         }
@@ -332,16 +333,16 @@
                 // none.
                 if body.len() > MAX_BODY {
                     tracing::error!("an answer of {} bytes exceeds the size limit", body.len());
-                    self.reply(conn, 502, &[], b"", context);
+                    self.respond(conn, 502, &[], b"", context);
                 } else {
-                    self.reply(conn, 200, &json, &body, context);
+                    self.respond(conn, 200, &json, &body, context);
                 }
             }
-            QueryOutcome::Rejected { retry_after: wait } => self.refuse(conn, wait, context),
-            QueryOutcome::Failed => self.reply(conn, 504, &[], b"", context),
+            QueryOutcome::Rejected { retry_after } => self.reject(conn, retry_after, context),
+            QueryOutcome::Failed => self.respond(conn, 504, &[], b"", context),
         }
         // Handles requests that the client has pipelined.
-        self.parse_input(conn, context);
+        self.process_input(conn, context);
         if self.clients.contains_key(&conn) {
             self.read(conn, context);
         }
@@ -370,7 +371,7 @@
             if is_idle && context.net.data(conn).is_empty() {
                 // A request that arrives now is not read, but earlier responses still reach the client.
                 context.net.close_lingering(conn, context.now);
-                self.forget(conn, context);
+                self.on_closed(conn, context);
             }
         }
     }
--- a/src/frontends/platform/frontend.rs
+++ b/src/frontends/platform/frontend.rs
@@ -97,7 +97,7 @@
         max_connections: max_upstream,
     };
     let mut servers = Upstream::new(SERVERS, limits);
-    let (cached, snapshot_writer) =
+    let (snapshots, snapshot_writer) =
         config.cache_directory.as_deref().map_or((Vec::new(), None), SnapshotWriter::open);
     let mut registry = Registry::new(RegistrySettings {
         layout: PartitionLayout { cells: settings.cells, span: settings.span },
@@ -119,7 +119,7 @@
     if let Some(joined) = &hot_restart_group {
         registry.restore(&joined.snapshots, now);
     }
-    registry.restore(&cached, now);
+    registry.restore(&snapshots, now);
     if let Some(list) = &config.initial_list {
         registry.add_configured(list, now);
     }
@@ -172,8 +172,8 @@
         admin_descriptors,
     };
     let mut broker = BrokerBuilder::new(clock, net, engine, frontend);
-    if let Some(ops) = config.ops {
-        broker.listen_admin(ops);
+    if let Some(admin_address) = config.ops {
+        broker.listen_admin(admin_address);
     }
     if let Some(joined) = hot_restart_group {
         broker.join_hot_restart(joined.hot_restart, joined.overrides);
@@ -207,8 +207,8 @@
 
     fn on_event(&mut self, event: NetEvent, context: &mut FrontendContext<RequestContext, String>) {
         match event.owner() {
-            Some(CLIENTS) => self.clients.event(event, context),
-            Some(SERVERS) => self.servers.event(event, context),
+            Some(CLIENTS) => self.clients.on_event(event, context),
+            Some(SERVERS) => self.servers.on_event(event, context),
             Some(DISCOVERY) => self.membership.on_event(event, context.now, context.net),
             _ => {}
         }
@@ -231,7 +231,9 @@
         match action {
             EngineAction::Call { replica, parts } => self.servers.call(replica, parts, context),
             EngineAction::CancelAttempt { attempt, .. } => self.servers.cancel_attempt(attempt, context.net),
-            EngineAction::Respond { query, outcome: answer } => self.clients.finish(query, answer, context),
+            EngineAction::Respond { query, outcome: answer } => {
+                self.clients.on_query_outcome(query, answer, context)
+            }
             EngineAction::WatchEndpoints => {
                 self.membership.request_watch(context.now, context.net);
                 self.membership
@@ -244,7 +246,7 @@
 
     fn next_deadline(&self) -> Option<Nanos> {
         let reload = self.reload_retry.next_deadline();
-        [self.servers.due(), self.membership.next_deadline(), self.clients.due(), reload]
+        [self.servers.next_deadline(), self.membership.next_deadline(), self.clients.next_deadline(), reload]
             .into_iter()
             .flatten()
             .min()
@@ -295,7 +297,7 @@
             net.descriptors() + self.admin_descriptors
                 - net.accepted_in_class(ConnectionClass::Admin).min(self.admin_descriptors),
         );
-        let servers = self.servers.links() + remaining / 2;
+        let servers = self.servers.connection_count() + remaining / 2;
         let clients = net.accepted() + remaining - remaining / 2;
         self.servers.set_max_connections(servers);
         self.clients.set_connection_limits(clients, (descriptors / QUERIED_CLIENTS_DIVISOR).min(clients));
--- a/src/frontends/platform/upstream.rs
+++ b/src/frontends/platform/upstream.rs
@@ -60,7 +60,7 @@
     parts: Vec<AttemptRequest<RequestContext>>,
 }
 
-struct Link {
+struct ServerConnection {
     replica: ReplicaId,
     addr: SocketAddr,
     /// Calls of which nothing was passed to the connection. Parts that are cancelled meanwhile are never
@@ -80,10 +80,10 @@
     unwritten: VecDeque<(u64, u64)>,
 }
 
-impl Link {
+impl ServerConnection {
     /// Parts in flight on it or queued for it.
     fn load(&self) -> usize {
-        self.in_flight.len() + self.queued_calls.iter().map(|w| w.parts.len()).sum::<usize>()
+        self.in_flight.len() + self.queued_calls.iter().map(|q| q.parts.len()).sum::<usize>()
     }
 
     /// The number of attempts whose frames are complete once `flushed` bytes are written. Each attempt is
@@ -102,21 +102,21 @@
     owner: u8,
     limits: UpstreamLimits,
     addrs: HashMap<ReplicaId, SocketAddr>,
-    links: BTreeMap<ConnId, Link>,
-    by_attempt: HashMap<AttemptId, ConnId>,
+    connections: BTreeMap<ConnId, ServerConnection>,
+    conn_by_attempt: HashMap<AttemptId, ConnId>,
     dialled: u64,
 }
 
 impl Upstream {
     /// The server side whose connections are registered with the poll loop under `owner`.
     pub fn new(owner: u8, limits: UpstreamLimits) -> Upstream {
-        let (addrs, links, by_attempt) = (HashMap::new(), BTreeMap::new(), HashMap::new());
-        Upstream { owner, limits, addrs, links, by_attempt, dialled: 0 }
+        let (addrs, connections, conn_by_attempt) = (HashMap::new(), BTreeMap::new(), HashMap::new());
+        Upstream { owner, limits, addrs, connections, conn_by_attempt, dialled: 0 }
     }
 
     /// Number of connections that are open or being established.
-    pub fn links(&self) -> usize {
-        self.links.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// Changes the limit on connections.
@@ -139,7 +139,7 @@
         parts: Vec<AttemptRequest<RequestContext>>,
         context: &mut Context,
     ) {
-        let conn = match self.open_link(replica, parts.len(), context) {
+        let conn = match self.open_connection(replica, parts.len(), context) {
             Ok(conn) => conn,
             Err(outcome) => {
                 for p in &parts {
@@ -149,26 +149,26 @@
             }
         };
         for p in &parts {
-            self.by_attempt.insert(p.attempt, conn);
+            self.conn_by_attempt.insert(p.attempt, conn);
             context.engine.attempt_queued(p.attempt);
         }
-        if let Some(link) = self.links.get_mut(&conn) {
-            link.queued_calls.push_back(QueuedCall { since: context.now, parts });
+        if let Some(connection) = self.connections.get_mut(&conn) {
+            connection.queued_calls.push_back(QueuedCall { since: context.now, parts });
         }
-        self.write(conn, context);
+        self.send_queued(conn, context);
     }
 
     /// Writes the queued calls of a connection, for as long as each is written completely.
-    fn write(&mut self, conn: ConnId, context: &mut Context) {
-        while let Some(link) = self.links.get_mut(&conn) {
-            if link.dial_deadline.is_some() || !context.net.is_flushed(conn) {
+    fn send_queued(&mut self, conn: ConnId, context: &mut Context) {
+        while let Some(connection) = self.connections.get_mut(&conn) {
+            if connection.dial_deadline.is_some() || !context.net.is_flushed(conn) {
                 return;
             }
-            let Some(QueuedCall { since, mut parts }) = link.queued_calls.pop_front() else { return };
+            let Some(QueuedCall { since, mut parts }) = connection.queued_calls.pop_front() else { return };
             parts.retain(|p| {
                 let begun = context.engine.begin_attempt(context.now, p.attempt);
                 if !begun {
-                    self.by_attempt.remove(&p.attempt);
+                    self.conn_by_attempt.remove(&p.attempt);
                 }
                 begun
             });
@@ -190,52 +190,52 @@
                 // `begin_attempt` is called again then.
                 Ok(Offer::NotBegun) => {
                     parts.iter().for_each(|p| context.engine.attempt_deferred(p.attempt));
-                    link.queued_calls.push_front(QueuedCall { since, parts });
+                    connection.queued_calls.push_front(QueuedCall { since, parts });
                     return;
                 }
                 Err(QueueFull) => {
                     tracing::warn!("call not sent: the connection's write queue is full");
                     for p in &parts {
-                        self.by_attempt.remove(&p.attempt);
+                        self.conn_by_attempt.remove(&p.attempt);
                         context.engine.attempt_ended(context.now, p.attempt, failed(Outcome::ConnectFailed));
                     }
                     continue;
                 }
             }
             let (end, flushed) = (context.net.queued(conn), context.net.flushed(conn));
-            link.unwritten.push_back((end, parts.len() as u64));
-            context.engine.attempts_written(link.take_written(flushed));
-            link.last_used = context.now;
-            link.unanswered_since.get_or_insert(context.now);
+            connection.unwritten.push_back((end, parts.len() as u64));
+            context.engine.attempts_written(connection.take_written(flushed));
+            connection.last_used = context.now;
+            connection.unanswered_since.get_or_insert(context.now);
             for (p, id) in parts.iter().zip(ids) {
                 tracing::debug!(
                     part = %id,
-                    server = link.replica.0,
-                    addr = %link.addr,
+                    server = connection.replica.0,
+                    addr = %connection.addr,
                     waited_ms = waited / NANOS_PER_MILLI,
                     unwritten_bytes = end - flushed,
                     "attempt is written to its server"
                 );
-                link.in_flight.push(PartInFlight { attempt: p.attempt, id, end });
+                connection.in_flight.push(PartInFlight { attempt: p.attempt, id, end });
             }
         }
     }
 
-    /// Selects a connection as [`Upstream::select_link`] does, but none that its server closed while it was
-    /// idle. Without this check, a call that is written after the close and before the next poll would count
-    /// as one that may have run.
-    fn open_link(
+    /// Selects a connection as [`Upstream::select_connection`] does, but none that its server closed while it
+    /// was idle. Without this check, a call that is written after the close and before the next poll would
+    /// count as one that may have run.
+    fn open_connection(
         &mut self,
         replica: ReplicaId,
         parts: usize,
         context: &mut Context,
     ) -> Result<ConnId, Outcome> {
         loop {
-            let conn = self.select_link(replica, parts, context.now, context.net)?;
-            if self.links.get(&conn).is_some_and(|l| l.dial_deadline.is_none() && l.load() == 0) {
+            let conn = self.select_connection(replica, parts, context.now, context.net)?;
+            if self.connections.get(&conn).is_some_and(|c| c.dial_deadline.is_none() && c.load() == 0) {
                 self.read(conn, context);
             }
-            if self.links.contains_key(&conn) {
+            if self.connections.contains_key(&conn) {
                 return Ok(conn);
             }
         }
@@ -244,7 +244,7 @@
     /// Selects a connection with room for `parts` parts: the established one with the most parts, else one
     /// that is being established, else a new one. If the broker's own limit prevents a new one, the outcome
     /// is [`Outcome::NotSent`], which does not count against the server.
-    fn select_link(
+    fn select_connection(
         &mut self,
         replica: ReplicaId,
         parts: usize,
@@ -252,19 +252,23 @@
         net: &mut PollLoop,
     ) -> Result<ConnId, Outcome> {
         let addr = *self.addrs.get(&replica).ok_or(Outcome::ConnectFailed)?;
-        let is_responsive = |l: &Link| {
-            l.unanswered_since.is_none_or(|t| now < t + self.limits.silence_timeout)
-                && l.partial_since.is_none_or(|t| now < t + PARTIAL_FRAME_GRACE)
+        let is_responsive = |c: &ServerConnection| {
+            c.unanswered_since.is_none_or(|t| now < t + self.limits.silence_timeout)
+                && c.partial_since.is_none_or(|t| now < t + PARTIAL_FRAME_GRACE)
+        };
+        let has_room = |c: &ServerConnection| {
+            is_responsive(c) && (c.load() == 0 || c.load() + parts <= self.limits.streams)
         };
-        let has_room =
-            |l: &Link| is_responsive(l) && (l.load() == 0 || l.load() + parts <= self.limits.streams);
         let candidates =
-            self.links.iter().filter(|(_, l)| l.replica == replica && l.addr == addr && has_room(l));
-        if let Some((conn, _)) = candidates.max_by_key(|(_, l)| (l.dial_deadline.is_none(), l.load())) {
+            self.connections.iter().filter(|(_, c)| c.replica == replica && c.addr == addr && has_room(c));
+        if let Some((conn, _)) = candidates.max_by_key(|(_, c)| (c.dial_deadline.is_none(), c.load())) {
             return Ok(*conn);
         }
-        if self.links.len() >= self.limits.max_connections && !self.close_least_recent(net) {
-            tracing::warn!("no connection to a shard server available: {} are in use", self.links.len());
+        if self.connections.len() >= self.limits.max_connections && !self.close_longest_idle(net) {
+            tracing::warn!(
+                "no connection to a shard server available: {} are in use",
+                self.connections.len()
+            );
             return Err(Outcome::NotSent);
         }
         match net.dial(addr, self.owner) {
@@ -272,7 +276,7 @@
                 self.dialled += 1;
                 tracing::debug!("dialled {addr}, connection {} to shard servers", self.dialled);
                 let dial_deadline = Some(now + self.limits.dial_timeout);
-                let link = Link {
+                let connection = ServerConnection {
                     replica,
                     addr,
                     queued_calls: VecDeque::new(),
@@ -284,7 +288,7 @@
                     unanswered_since: None,
                     unwritten: VecDeque::new(),
                 };
-                self.links.insert(conn, link);
+                self.connections.insert(conn, connection);
                 Ok(conn)
             }
             // A local error of the operating system: nothing has reached the server.
@@ -296,11 +300,11 @@
     }
 
     /// Closes the connection that was unused for longest. Returns false if all are in use.
-    fn close_least_recent(&mut self, net: &mut PollLoop) -> bool {
-        let unused = self.links.iter().filter(|(_, l)| l.load() == 0);
-        let Some(conn) = unused.min_by_key(|(_, l)| l.last_used).map(|(conn, _)| *conn) else { return false };
-        if let Some(link) = self.links.remove(&conn) {
-            tracing::debug!("connection to shard server {} closed to make room", link.addr);
+    fn close_longest_idle(&mut self, net: &mut PollLoop) -> bool {
+        let unused = self.connections.iter().filter(|(_, c)| c.load() == 0);
+        let Some(conn) = unused.min_by_key(|(_, c)| c.last_used).map(|(conn, _)| *conn) else { return false };
+        if let Some(connection) = self.connections.remove(&conn) {
+            tracing::debug!("connection to shard server {} closed to make room", connection.addr);
         }
         net.close(conn);
         true
@@ -308,83 +312,83 @@
 
     /// Cancels an attempt. The shard server is notified if the attempt was written.
     pub fn cancel_attempt(&mut self, attempt: AttemptId, net: &mut PollLoop) {
-        let Some(conn) = self.by_attempt.remove(&attempt) else { return };
-        let Some(link) = self.links.get_mut(&conn) else { return };
-        if let Some(at) = link.in_flight.iter().position(|r| r.attempt == attempt) {
-            let in_flight = link.in_flight.remove(at);
+        let Some(conn) = self.conn_by_attempt.remove(&attempt) else { return };
+        let Some(connection) = self.connections.get_mut(&conn) else { return };
+        if let Some(at) = connection.in_flight.iter().position(|r| r.attempt == attempt) {
+            let in_flight = connection.in_flight.remove(at);
             let _ = net.send(conn, &frame::cancel(&in_flight.id));
-            if link.cancelled.len() >= MAX_CANCELLED {
-                link.cancelled.pop_front();
+            if connection.cancelled.len() >= MAX_CANCELLED {
+                connection.cancelled.pop_front();
             }
-            link.cancelled.push_back(in_flight.id);
+            connection.cancelled.push_back(in_flight.id);
         } else {
-            link.queued_calls.iter_mut().for_each(|w| w.parts.retain(|p| p.attempt != attempt));
-            link.queued_calls.retain(|w| !w.parts.is_empty());
+            connection.queued_calls.iter_mut().for_each(|q| q.parts.retain(|p| p.attempt != attempt));
+            connection.queued_calls.retain(|q| !q.parts.is_empty());
         }
     }
 
     /// Handles an event of one of the connections.
-    pub fn event(&mut self, event: NetEvent, context: &mut Context) {
+    pub fn on_event(&mut self, event: NetEvent, context: &mut Context) {
         match event {
             NetEvent::Connected { conn, .. } => {
-                if let Some(link) = self.links.get_mut(&conn) {
-                    link.dial_deadline = None;
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    connection.dial_deadline = None;
                 }
-                self.write(conn, context);
+                self.send_queued(conn, context);
             }
             NetEvent::Readable { conn, .. } => self.read(conn, context),
-            NetEvent::Broken { conn, flushed, .. } => self.broken(conn, flushed, context),
+            NetEvent::Broken { conn, flushed, .. } => self.on_broken(conn, flushed, context),
             NetEvent::Flushed { conn, .. } => {
                 let flushed = context.net.flushed(conn);
-                if let Some(link) = self.links.get_mut(&conn) {
-                    context.engine.attempts_written(link.take_written(flushed));
+                if let Some(connection) = self.connections.get_mut(&conn) {
+                    context.engine.attempts_written(connection.take_written(flushed));
                 }
-                self.write(conn, context);
+                self.send_queued(conn, context);
             }
             NetEvent::Accepted { .. } | NetEvent::Datagrams { .. } | NetEvent::Signal(_) => {}
         }
     }
 
     fn read(&mut self, conn: ConnId, context: &mut Context) {
-        while self.links.contains_key(&conn) {
+        while self.connections.contains_key(&conn) {
             match context.net.fill(conn) {
                 ReadOutcome::Read(_) => {
-                    if let Some(link) = self.links.get_mut(&conn) {
-                        link.unanswered_since = None;
+                    if let Some(connection) = self.connections.get_mut(&conn) {
+                        connection.unanswered_since = None;
                     }
-                    self.read_frames(conn, context);
+                    self.process_input(conn, context);
                 }
                 ReadOutcome::WouldBlock | ReadOutcome::NoBuffer => return,
                 ReadOutcome::BufferFull => {
-                    return self.close_invalid(conn, "a frame is larger than the buffer", context);
+                    return self.close_on_error(conn, "a frame is larger than the buffer", context);
                 }
                 ReadOutcome::Closed => return self.close(conn, context),
             }
         }
     }
 
-    fn read_frames(&mut self, conn: ConnId, context: &mut Context) {
+    fn process_input(&mut self, conn: ConnId, context: &mut Context) {
         loop {
-            let Some(link) = self.links.get_mut(&conn) else { return };
+            let Some(connection) = self.connections.get_mut(&conn) else { return };
             let data = context.net.data(conn);
             let size = match frame::read(data) {
                 Ok(None) => {
-                    link.partial_since =
-                        (!data.is_empty()).then(|| link.partial_since.unwrap_or(context.now));
+                    connection.partial_since =
+                        (!data.is_empty()).then(|| connection.partial_since.unwrap_or(context.now));
                     return;
                 }
                 Ok(Some((size, FromServer::Answer { id, end, utilization, value }))) => {
-                    link.partial_since = None;
-                    let at = link.in_flight.iter().position(|r| r.id == id);
+                    connection.partial_since = None;
+                    let at = connection.in_flight.iter().position(|r| r.id == id);
                     // If the length is too small, the value is truncated and its remainder is no valid frame.
                     // Clients must not receive such a value.
                     if at.is_some() && !frame::may_start(&data[size..]) {
-                        return self.close_invalid(conn, "an answer is followed by invalid data", context);
+                        return self.close_on_error(conn, "an answer is followed by invalid data", context);
                     }
                     if let Some(at) = at {
-                        let attempt = link.in_flight.remove(at).attempt;
-                        link.last_used = context.now;
-                        self.by_attempt.remove(&attempt);
+                        let attempt = connection.in_flight.remove(at).attempt;
+                        connection.last_used = context.now;
+                        self.conn_by_attempt.remove(&attempt);
                         let outcome = match end {
                             End::Ok => Outcome::Ok,
                             End::Error => Outcome::Error,
@@ -396,21 +400,21 @@
                             attempt,
                             AttemptOutcome { outcome, utilization, value },
                         );
-                    } else if let Some(late) = link.cancelled.iter().position(|g| g == id) {
-                        link.cancelled.remove(late);
+                    } else if let Some(late) = connection.cancelled.iter().position(|c| c == id) {
+                        connection.cancelled.remove(late);
                     } else {
                         // After an answer to an unknown part, or a second one to the same part, no answer on
                         // this connection is trusted.
-                        return self.close_invalid(conn, "an answer belongs to no part in flight", context);
+                        return self.close_on_error(conn, "an answer belongs to no part in flight", context);
                     }
                     size
                 }
                 Ok(Some((_, FromServer::Unusable(message)))) => {
                     let message = String::from_utf8_lossy(&message[..message.len().min(200)]);
-                    tracing::error!("shard server {} could not use a frame: {message:?}", link.addr);
+                    tracing::error!("shard server {} could not use a frame: {message:?}", connection.addr);
                     return self.close(conn, context);
                 }
-                Err(e) => return self.close_invalid(conn, &e.to_string(), context),
+                Err(e) => return self.close_on_error(conn, &e.to_string(), context),
             };
             context.net.consume(conn, size);
         }
@@ -418,41 +422,41 @@
 
     /// Closes a connection on which invalid data was received. The parts in flight on it may have run, and
     /// their answers can't be identified any more.
-    fn close_invalid(&mut self, conn: ConnId, why: &str, context: &mut Context) {
-        if let Some(link) = self.links.get(&conn) {
-            tracing::error!("shard server connection to {} closed: {why}", link.addr);
+    fn close_on_error(&mut self, conn: ConnId, why: &str, context: &mut Context) {
+        if let Some(connection) = self.connections.get(&conn) {
+            tracing::error!("shard server connection to {} closed: {why}", connection.addr);
         }
         let flushed = context.net.flushed(conn);
         context.net.close(conn);
-        self.end_attempts(conn, flushed, Outcome::InvalidResponse, context);
+        self.on_closed(conn, flushed, Outcome::InvalidResponse, context);
     }
 
     fn close(&mut self, conn: ConnId, context: &mut Context) {
         let flushed = context.net.flushed(conn);
         context.net.close(conn);
-        self.broken(conn, flushed, context);
+        self.on_broken(conn, flushed, context);
     }
 
-    /// Ends a broken connection. A part whose frame was not written completely did not run; any other may
-    /// have.
-    fn broken(&mut self, conn: ConnId, flushed: u64, context: &mut Context) {
-        self.end_attempts(conn, flushed, Outcome::ConnectionReset, context);
+    /// Handles the loss of a connection. A part whose frame was not written completely did not run; any
+    /// other may have.
+    fn on_broken(&mut self, conn: ConnId, flushed: u64, context: &mut Context) {
+        self.on_closed(conn, flushed, Outcome::ConnectionReset, context);
     }
 
     /// Ends all attempts on a connection. A failed connection is reported for one attempt only: the other
     /// attempts that may have run are reported as cancelled.
-    fn end_attempts(&mut self, conn: ConnId, flushed: u64, mut why: Outcome, context: &mut Context) {
-        let Some(mut link) = self.links.remove(&conn) else { return };
-        context.engine.attempts_written(link.take_written(flushed));
-        for p in link.queued_calls.into_iter().flat_map(|w| w.parts) {
-            self.by_attempt.remove(&p.attempt);
+    fn on_closed(&mut self, conn: ConnId, flushed: u64, mut why: Outcome, context: &mut Context) {
+        let Some(mut connection) = self.connections.remove(&conn) else { return };
+        context.engine.attempts_written(connection.take_written(flushed));
+        for p in connection.queued_calls.into_iter().flat_map(|q| q.parts) {
+            self.conn_by_attempt.remove(&p.attempt);
             context.engine.attempt_ended(context.now, p.attempt, failed(Outcome::ConnectFailed));
         }
-        for r in link.in_flight {
-            self.by_attempt.remove(&r.attempt);
+        for r in connection.in_flight {
+            self.conn_by_attempt.remove(&r.attempt);
             let written = flushed >= r.end;
             let outcome = if written { why } else { Outcome::ConnectFailed };
-            tracing::debug!("attempt at {} ended with its connection: {outcome:?}", link.addr);
+            tracing::debug!("attempt at {} ended with its connection: {outcome:?}", connection.addr);
             context.engine.attempt_ended(context.now, r.attempt, failed(outcome));
             why = if written { Outcome::Cancelled } else { why };
         }
@@ -461,35 +465,36 @@
     /// Closes connections that exceed a time limit or whose server has moved, and idle ones before the peer
     /// closes them.
     pub fn tick(&mut self, context: &mut Context) {
-        let has_moved = |l: &Link| l.load() == 0 && self.addrs.get(&l.replica) != Some(&l.addr);
-        let has_expired = |l: &Link| self.deadline(l) <= context.now || has_moved(l);
-        let ended: Vec<ConnId> = self.links.iter().filter(|(_, l)| has_expired(l)).map(|(c, _)| *c).collect();
+        let has_moved = |c: &ServerConnection| c.load() == 0 && self.addrs.get(&c.replica) != Some(&c.addr);
+        let has_expired = |c: &ServerConnection| self.expires_at(c) <= context.now || has_moved(c);
+        let ended: Vec<ConnId> =
+            self.connections.iter().filter(|(_, c)| has_expired(c)).map(|(c, _)| *c).collect();
         for conn in ended {
             if self
-                .links
+                .connections
                 .get(&conn)
-                .is_some_and(|l| l.partial_since.is_some_and(|t| t + FRAME_TIMEOUT <= context.now))
+                .is_some_and(|c| c.partial_since.is_some_and(|t| t + FRAME_TIMEOUT <= context.now))
             {
-                self.close_invalid(conn, "a frame was not completed in time", context);
+                self.close_on_error(conn, "a frame was not completed in time", context);
             } else {
                 self.close(conn, context);
             }
         }
     }
 
-    fn deadline(&self, l: &Link) -> Nanos {
-        let idle = l.last_used + self.limits.idle_timeout / 10 * 9;
-        match (l.dial_deadline, l.partial_since) {
+    fn expires_at(&self, c: &ServerConnection) -> Nanos {
+        let idle = c.last_used + self.limits.idle_timeout / 10 * 9;
+        match (c.dial_deadline, c.partial_since) {
             (Some(t), _) => t,
             (None, Some(t)) => t + FRAME_TIMEOUT,
-            (None, None) if l.load() > 0 => Nanos::MAX,
-            (None, None) => l.unanswered_since.map_or(idle, |t| idle.min(t + SILENCE_TIMEOUT)),
+            (None, None) if c.load() > 0 => Nanos::MAX,
+            (None, None) => c.unanswered_since.map_or(idle, |t| idle.min(t + SILENCE_TIMEOUT)),
         }
     }
 
     /// When `tick` is next worth calling.
-    pub fn due(&self) -> Option<Nanos> {
-        self.links.values().map(|l| self.deadline(l)).min().filter(|t| *t < Nanos::MAX)
+    pub fn next_deadline(&self) -> Option<Nanos> {
+        self.connections.values().map(|c| self.expires_at(c)).min().filter(|t| *t < Nanos::MAX)
     }
 }
 
--- a/tests/links.rs
+++ b/tests/links.rs
@@ -80,7 +80,7 @@
             assert!(!events.is_empty(), "no event within the time-out");
             let now = self.clock.now();
             let mut context = FrontendContext { now, net: &mut self.net, engine: &mut self.engine };
-            events.drain(..).for_each(|e| self.upstream.event(e, &mut context));
+            events.drain(..).for_each(|e| self.upstream.on_event(e, &mut context));
         }
     }
 }
