--- a/lab/src/operation.rs
+++ b/lab/src/operation.rs
@@ -120,7 +120,7 @@
     load.wait_for_more(1000);
     let loaded = response_times(&process);
     let callers: Vec<TcpStream> =
-        (0..1000).filter_map(|_| TcpStream::connect(process.admin_addr).ok()).collect();
+        (0..1000).filter_map(|_| TcpStream::connect(process.admin_address).ok()).collect();
     let crowded = response_times(&process);
     drop(callers);
     let (before, refused) = (load.served(), load.refused());
--- a/lab/src/running.rs
+++ b/lab/src/running.rs
@@ -68,8 +68,8 @@
         self.listener.local_addr().unwrap()
     }
 
-    fn config(&self, admin_addr: Option<SocketAddr>, (sockets, memory): (usize, usize)) -> PathBuf {
-        let admin_setting = admin_addr.map_or(String::new(), |addr| format!("\"ops\":\"{addr}\","));
+    fn config(&self, admin_address: Option<SocketAddr>, (sockets, memory): (usize, usize)) -> PathBuf {
+        let admin_setting = admin_address.map_or(String::new(), |addr| format!("\"ops\":\"{addr}\","));
         let text = format!(
             r#"{{"name":"b","listen":"{}","discovery":"{}",{admin_setting}"seed":"1f","limits":{{"sockets":{sockets},"memory_mb":{memory}}},
             "known":{{"version":0,"full":true,"servers":[]}},"settings":{{"areas":["a"],"my_zone":"a",
@@ -82,7 +82,8 @@
             self.listen_addr(),
             self.directory.addr
         );
-        let path = self.tmp.path().join(format!("config-{}.json", admin_addr.map_or(0, |addr| addr.port())));
+        let path =
+            self.tmp.path().join(format!("config-{}.json", admin_address.map_or(0, |addr| addr.port())));
         std::fs::write(&path, text).unwrap();
         path
     }
@@ -111,29 +112,29 @@
 
     /// Starts a process with these limits of descriptors and of memory in MB, and returns at once.
     pub fn start_with_limits(&self, (sockets, memory): (usize, usize)) -> Process {
-        let admin_addr = unused_address();
-        let config = self.config(Some(admin_addr), (sockets, memory));
+        let admin_address = unused_address();
+        let config = self.config(Some(admin_address), (sockets, memory));
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 4<&0 0</dev/null"]).arg(&self.program);
         command.env("GW_CONFIG", config).env("GW_INHERITED_FD", "4").env("TMPDIR", self.tmp.path());
-        Process::start(&mut command, &self.listener, admin_addr)
+        Process::start(&mut command, &self.listener, admin_address)
     }
 
     /// Starts a process with or without an admin address, and with or without hot restart, and waits until it
     /// has the endpoint list.
-    pub fn start_with_options(&self, has_admin_addr: bool, has_hot_restart: bool) -> Process {
+    pub fn start_with_options(&self, has_admin_address: bool, has_hot_restart: bool) -> Process {
         let unused = SocketAddr::from(([127, 0, 0, 1], 0));
-        let admin_addr = has_admin_addr.then(unused_address);
+        let admin_address = has_admin_address.then(unused_address);
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" 4<&0 0</dev/null"]).arg(&self.program);
         command
-            .env("GW_CONFIG", self.config(admin_addr, DEFAULT_LIMITS))
+            .env("GW_CONFIG", self.config(admin_address, DEFAULT_LIMITS))
             .env("GW_INHERITED_FD", "4")
             .env_remove("TMPDIR");
         if has_hot_restart {
             command.env("TMPDIR", self.tmp.path());
         }
-        let process = Process::start(&mut command, &self.listener, admin_addr.unwrap_or(unused));
+        let process = Process::start(&mut command, &self.listener, admin_address.unwrap_or(unused));
         process.wait_for_log("endpoint list was merged version=1");
         process
     }
@@ -142,7 +143,7 @@
 /// A process of the program; it is killed when this is dropped.
 pub struct Process {
     child: Child,
-    pub admin_addr: SocketAddr,
+    pub admin_address: SocketAddr,
     log_lines: Arc<Mutex<Vec<String>>>,
     /// Reads the log into `log_lines` until the process has ended.
     log_reader: Option<JoinHandle<()>>,
@@ -150,13 +151,13 @@
 
 impl Process {
     /// Starts a program that inherits the listener as its standard input.
-    pub fn start(command: &mut Command, listener: &TcpListener, admin_addr: SocketAddr) -> Process {
+    pub fn start(command: &mut Command, listener: &TcpListener, admin_address: SocketAddr) -> Process {
         let listener = OwnedFd::from(listener.try_clone().unwrap());
-        Process::spawn(command.stdin(Stdio::from(listener)), admin_addr)
+        Process::spawn(command.stdin(Stdio::from(listener)), admin_address)
     }
 
     /// Starts a program that has this admin address.
-    pub fn spawn(command: &mut Command, admin_addr: SocketAddr) -> Process {
+    pub fn spawn(command: &mut Command, admin_address: SocketAddr) -> Process {
         command.env_remove("PEBBLETURN_KEEP").env("PEBBLETURN_LOG", "info");
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let log_lines = Arc::new(Mutex::new(Vec::new()));
@@ -166,13 +167,13 @@
                 written_lines.lock().unwrap().push(l);
             }
         });
-        Process { child, admin_addr, log_lines, log_reader: Some(log_reader) }
+        Process { child, admin_address, log_lines, log_reader: Some(log_reader) }
     }
 
     /// Sends one request to the admin address and returns the response, which is empty if nothing listens
     /// there.
     pub fn admin_request(&self, line: &str) -> String {
-        let Ok(mut stream) = TcpStream::connect_timeout(&self.admin_addr, HANG_TIMEOUT) else {
+        let Ok(mut stream) = TcpStream::connect_timeout(&self.admin_address, HANG_TIMEOUT) else {
             return String::new();
         };
         let mut answer = String::new();
--- a/lab/src/sockets.rs
+++ b/lab/src/sockets.rs
@@ -4,7 +4,7 @@
 use crate::demo::search_over_sru;
 use crate::directory::{Directory, Mode};
 use crate::restart::{AGES, Arm, RestartResult, snapshot_of};
-use crate::standins::{Behaviour, NodeScript, WireProtocol, node};
+use crate::standins::{Behavior, NodeScript, WireProtocol, node};
 use pebbleturn::config::OperatorConfig;
 use pebbleturn::frontends::catalogue;
 use pebbleturn::membership::{NodeRecord, NodeState};
@@ -73,9 +73,9 @@
 
 fn run_once(age_s: u64, arm: Arm, dir: &Path) -> Result<RestartResult, BoxError> {
     let (script, all) = (NodeScript::default(), (0..NODES as u32).collect::<Vec<u32>>());
-    script.set(&(0..NODES).collect::<Vec<_>>(), &all, Behaviour::Delayed(PART_TIMES_MS.0));
+    script.set(&(0..NODES).collect::<Vec<_>>(), &all, Behavior::Delayed(PART_TIMES_MS.0));
     let (gone, drained, cold) = (0, 1, 2);
-    script.set(&[drained], &all, Behaviour::Reject);
+    script.set(&[drained], &all, Behavior::Reject);
     script.restart_cold(cold, &all, PART_TIMES_MS.1, MAX_COLD_PARTS);
     let mut records = Vec::new();
     for n in 0..NODES {
--- a/lab/src/standins.rs
+++ b/lab/src/standins.rs
@@ -20,7 +20,7 @@
 
 /// How a node answers a part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behaviour {
+pub enum Behavior {
     Serve,
     /// Serves after this many milliseconds.
     Delayed(u64),
@@ -50,7 +50,7 @@
 
 #[derive(Default)]
 struct State {
-    behaviours: HashMap<(usize, u32), Behaviour>,
+    behaviors: HashMap<(usize, u32), Behavior>,
     /// Node and time of each part received.
     received: Vec<(usize, Instant)>,
     closed_connections: usize,
@@ -66,16 +66,16 @@
     overloaded: bool,
 }
 
-/// A node with `Behaviour::RejectMost` serves one in this many parts.
+/// A node with `Behavior::RejectMost` serves one in this many parts.
 const REJECT_MOST_SERVES_ONE_IN: usize = 3;
 
 /// Time over which the load of a cold node is counted.
 const OVERLOAD_WINDOW: Duration = Duration::from_millis(1500);
 
 impl NodeScript {
-    pub fn set(&self, nodes: &[usize], partitions: &[u32], behaviour: Behaviour) {
+    pub fn set(&self, nodes: &[usize], partitions: &[u32], behavior: Behavior) {
         let mut s = self.0.lock().unwrap();
-        s.behaviours.extend(nodes.iter().flat_map(|n| partitions.iter().map(move |p| ((*n, *p), behaviour))));
+        s.behaviors.extend(nodes.iter().flat_map(|n| partitions.iter().map(move |p| ((*n, *p), behavior))));
     }
 
     /// Parts that all nodes have received so far.
@@ -101,7 +101,7 @@
     /// The node has just started: it answers after `delay_ms`, and fails permanently once it receives more
     /// than `max_parts` parts within a second and a half.
     pub fn restart_cold(&self, node: usize, partitions: &[u32], delay_ms: u64, max_parts: usize) {
-        self.set(&[node], partitions, Behaviour::Delayed(delay_ms));
+        self.set(&[node], partitions, Behavior::Delayed(delay_ms));
         let cold = Cold { max_parts, received: VecDeque::new(), overloaded: false };
         self.0.lock().unwrap().cold.insert(node, cold);
     }
@@ -111,8 +111,8 @@
         self.0.lock().unwrap().cold.values().filter(|c| c.overloaded).count()
     }
 
-    fn next_behaviour(&self, node: usize, partition: u32) -> Behaviour {
-        let behaviour = {
+    fn next_behavior(&self, node: usize, partition: u32) -> Behavior {
+        let behavior = {
             let mut s = self.0.lock().unwrap();
             s.received.push((node, Instant::now()));
             if let Some(cold) = s.cold.get_mut(&node) {
@@ -123,22 +123,22 @@
                 }
                 cold.overloaded |= cold.received.len() > cold.max_parts;
                 if cold.overloaded {
-                    return Behaviour::CloseConnection;
+                    return Behavior::CloseConnection;
                 }
             }
-            match s.behaviours.get(&(node, partition)).copied().unwrap_or(Behaviour::Serve) {
-                Behaviour::RejectMost if !s.received.len().is_multiple_of(REJECT_MOST_SERVES_ONE_IN) => {
-                    Behaviour::Reject
+            match s.behaviors.get(&(node, partition)).copied().unwrap_or(Behavior::Serve) {
+                Behavior::RejectMost if !s.received.len().is_multiple_of(REJECT_MOST_SERVES_ONE_IN) => {
+                    Behavior::Reject
                 }
-                behaviour => behaviour,
+                behavior => behavior,
             }
         };
-        match behaviour {
-            Behaviour::Delayed(ms) => std::thread::sleep(Duration::from_millis(ms)),
-            Behaviour::Silent => std::thread::sleep(Duration::from_secs(30)),
+        match behavior {
+            Behavior::Delayed(ms) => std::thread::sleep(Duration::from_millis(ms)),
+            Behavior::Silent => std::thread::sleep(Duration::from_secs(30)),
             _ => {}
         }
-        behaviour
+        behavior
     }
 }
 
@@ -229,24 +229,22 @@
             rest = &rest[end + 1 + length..];
             let (script, writer) = (script.clone(), writer.clone());
             std::thread::spawn(move || {
-                let behaviour = script.next_behaviour(number, shard);
-                let (word, value) = match behaviour {
-                    Behaviour::Fail => ("ERROR", String::new()),
-                    Behaviour::Reject => ("REJECTED", String::new()),
-                    Behaviour::CloseConnection => {
+                let behavior = script.next_behavior(number, shard);
+                let (word, value) = match behavior {
+                    Behavior::Fail => ("ERROR", String::new()),
+                    Behavior::Reject => ("REJECTED", String::new()),
+                    Behavior::CloseConnection => {
                         return writer.lock().unwrap().shutdown(std::net::Shutdown::Both).ok();
                     }
                     _ => ("OK", value(shard)),
                 };
-                let id = if behaviour == Behaviour::UnknownQuery { "nobody.0" } else { &id };
+                let id = if behavior == Behavior::UnknownQuery { "nobody.0" } else { &id };
                 let body = format!("Y{id} {word} 17 queue=0,util=0.2\n{value}");
                 let frame = [&(body.len() as u32).to_be_bytes(), body.as_bytes()].concat();
-                let bytes = match behaviour {
-                    Behaviour::Garbage => b"\xc3\x28 noise \r\n".to_vec(),
-                    Behaviour::Truncated => {
-                        [&(body.len() as u32 + 9).to_be_bytes(), body.as_bytes()].concat()
-                    }
-                    Behaviour::Duplicate => frame.repeat(2),
+                let bytes = match behavior {
+                    Behavior::Garbage => b"\xc3\x28 noise \r\n".to_vec(),
+                    Behavior::Truncated => [&(body.len() as u32 + 9).to_be_bytes(), body.as_bytes()].concat(),
+                    Behavior::Duplicate => frame.repeat(2),
                     _ => frame,
                 };
                 writer.lock().unwrap().write_all(&bytes).ok()
@@ -278,10 +276,10 @@
         let Ok(sru::Request::Search(s)) = sru::read(&sru::parameters(target, "")) else { return None };
         let mut status = "200 OK";
         let mut r = sru::Response { total: RECORDS_PER_PARTITION, ..Default::default() };
-        match script.next_behaviour(number, partition) {
-            Behaviour::Reject => status = "503 Service Unavailable",
-            Behaviour::Fail => r.diagnostics.push(Diagnostic::new(Condition::GeneralError, "broken")),
-            Behaviour::CloseConnection => return None,
+        match script.next_behavior(number, partition) {
+            Behavior::Reject => status = "503 Service Unavailable",
+            Behavior::Fail => r.diagnostics.push(Diagnostic::new(Condition::GeneralError, "broken")),
+            Behavior::CloseConnection => return None,
             _ => {
                 let last = (s.start - 1 + s.maximum.unwrap_or(10)).min(RECORDS_PER_PARTITION);
                 r.items = (s.start..=last).map(|n| sru::Item::Record(record(partition, n))).collect();
@@ -321,10 +319,10 @@
                 partition = r.databases[0].strip_prefix("part-")?.parse().ok()?;
                 let Query::Rpn(query) = &r.query else { return None };
                 rpn::read(query, &|_| None).ok()?;
-                let diagnostic = match script.next_behaviour(number, partition) {
-                    Behaviour::Reject => Some(Condition::TemporarilyUnavailable),
-                    Behaviour::Fail => Some(Condition::GeneralError),
-                    Behaviour::CloseConnection => return None,
+                let diagnostic = match script.next_behavior(number, partition) {
+                    Behavior::Reject => Some(Condition::TemporarilyUnavailable),
+                    Behavior::Fail => Some(Condition::GeneralError),
+                    Behavior::CloseConnection => return None,
                     _ => None,
                 };
                 Apdu::SearchResponse(SearchResponse {
--- a/tests/discovery_faults/fleet.rs
+++ b/tests/discovery_faults/fleet.rs
@@ -14,7 +14,7 @@
 use super::judge::{GRACE, Mode, SLACK};
 use super::scenarios::{platform_config, sleep_until};
 use super::shared_discovery::SharedDiscovery;
-use pebbleturn_lab::standins::{Behaviour, NodeScript, WireProtocol, node};
+use pebbleturn_lab::standins::{Behavior, NodeScript, WireProtocol, node};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
 impl Member {
     fn start(number: usize, seed: u64, discovery: &SharedDiscovery) -> Member {
         let script = NodeScript::default();
-        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(OTHER_SERVERS_DELAY_MS));
+        script.set(&[0, 2], &[0, 1, 2], Behavior::Delayed(OTHER_SERVERS_DELAY_MS));
         let servers: Vec<SocketAddr> =
             (0..SERVERS).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
         discovery.set_list(number, full_list(&servers, false));
--- a/tests/discovery_faults/scenarios.rs
+++ b/tests/discovery_faults/scenarios.rs
@@ -3,7 +3,7 @@
 use super::broker_process::{Answers, BrokerProcess};
 use super::judge::{GRACE, Mode, SLACK};
 use super::scripted_discovery::{Call, Directory, Outage, ScriptedDiscovery};
-use pebbleturn_lab::standins::{Behaviour, NodeScript, WireProtocol, node};
+use pebbleturn_lab::standins::{Behavior, NodeScript, WireProtocol, node};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -290,7 +290,7 @@
     fn run(&self) -> Result<(), String> {
         let script = NodeScript::default();
         // The server that drains is the fastest: it gets parts for as long as the broker considers it ready.
-        script.set(&[0, 2], &[0, 1, 2], Behaviour::Delayed(OTHER_SERVERS_DELAY_MS));
+        script.set(&[0, 2], &[0, 1, 2], Behavior::Delayed(OTHER_SERVERS_DELAY_MS));
         let servers: Vec<_> = (0..3).map(|n| node(WireProtocol::Http, n, script.clone())).collect();
         let directory = Arc::new(Directory::new(servers));
         let service = ScriptedDiscovery::start(directory.clone(), self.calls.clone(), self.outage);
@@ -303,10 +303,10 @@
             scope.spawn(|| self.reload(&broker, &directory, service, started));
             if self.rejects_parts {
                 sleep_until(started + self.drain_at - DRAIN_NOTICE_DELAY);
-                script.set(&[1], &[0, 1, 2], Behaviour::Reject);
+                script.set(&[1], &[0, 1, 2], Behavior::Reject);
             }
             if self.is_overloaded {
-                script.set(&[0, 2], &[0, 1, 2], Behaviour::RejectMost);
+                script.set(&[0, 2], &[0, 1, 2], Behavior::RejectMost);
             }
             sleep_until(started + self.drain_at);
             directory.drain();
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -41,10 +41,10 @@
     }
 
     fn failed_part_is_retried_on_another_node(wire, nodes) {
-        for behaviour in [Behaviour::Fail, Behaviour::Reject, Behaviour::CloseConnection] {
+        for behavior in [Behavior::Fail, Behavior::Reject, Behavior::CloseConnection] {
             let s = start_broker(wire, nodes, 100);
-            s.script.set(&[1], &[0, 1, 2], behaviour);
-            assert_eq!(s.query("whole"), Reply::Complete, "{behaviour:?}");
+            s.script.set(&[1], &[0, 1, 2], behavior);
+            assert_eq!(s.query("whole"), Reply::Complete, "{behavior:?}");
         }
     }
 
@@ -60,22 +60,22 @@
 
     fn answer_at_the_floor_is_marked_as_partial(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
-        s.script.set(ALL, &[1], Behaviour::Silent);
+        s.script.set(ALL, &[1], Behavior::Silent);
         assert_eq!(s.query("most"), Reply::Partial(2));
     }
 
     fn answer_below_the_floor_is_withheld(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
-        s.script.set(ALL, &[1, 2], Behaviour::Silent);
+        s.script.set(ALL, &[1, 2], Behavior::Silent);
         assert_eq!(s.query("most"), REFUSED);
         let all_parts_needed = start_broker(wire, nodes, 100);
-        all_parts_needed.script.set(ALL, &[1], Behaviour::Silent);
+        all_parts_needed.script.set(ALL, &[1], Behavior::Silent);
         assert!(matches!(all_parts_needed.query("short"), Reply::Refused { .. } | Reply::Failed));
     }
 
     fn query_that_no_replica_can_serve_is_refused_early_with_a_retry_time(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
-        s.script.set(ALL, &[2], Behaviour::Fail);
+        s.script.set(ALL, &[2], Behavior::Fail);
         let start = std::time::Instant::now();
         assert_eq!(s.query("whole"), REFUSED);
         // The deadline of its class is 20 s; three failed attempts take milliseconds.
@@ -84,10 +84,10 @@
 
     fn silent_nodes_lead_to_one_final_answer_and_the_connection_stays_open(wire, nodes) {
         let s = start_broker(wire, nodes, 100);
-        s.script.set(ALL, &[0, 1, 2], Behaviour::Silent);
+        s.script.set(ALL, &[0, 1, 2], Behavior::Silent);
         let mut client = s.client();
         assert!(matches!(client.query("short"), Reply::Refused { .. } | Reply::Failed));
-        s.script.set(ALL, &[0, 1, 2], Behaviour::Serve);
+        s.script.set(ALL, &[0, 1, 2], Behavior::Serve);
         // Node connections with silent parts are busy or abandoned; the next answer belongs to the next query.
         let served = (0..20).find(|_| client.query("whole") == Reply::Complete);
         assert!(served.is_some());
@@ -95,12 +95,12 @@
 
     fn query_over_max_open_is_refused_until_another_client_disconnects(wire, nodes) {
         let s = start_broker(wire, nodes, 1 + PARTITIONS);
-        s.script.set(ALL, &[0], Behaviour::Delayed(5000));
+        s.script.set(ALL, &[0], Behavior::Delayed(5000));
         let mut first = s.client();
         first.send("whole", "raga");
         s.wait_for_parts(3);
         assert_eq!(s.query("whole"), REFUSED);
-        s.script.set(ALL, &[0], Behaviour::Serve);
+        s.script.set(ALL, &[0], Behavior::Serve);
         drop(first);
         let served = (0..2000).any(|_| {
             std::thread::sleep(std::time::Duration::from_millis(5));
@@ -169,7 +169,7 @@
         let (mut idle, mut busy) = (s.client(), s.client());
         assert_eq!(idle.query("whole"), Reply::Complete);
         let before = s.script.parts_received();
-        s.script.set(ALL, &[0, 1, 2], Behaviour::Delayed(300));
+        s.script.set(ALL, &[0, 1, 2], Behavior::Delayed(300));
         busy.send("whole", "raga");
         s.wait_for_parts(before + 3);
         s.drain();
--- a/tests/fronts/protocols.rs
+++ b/tests/fronts/protocols.rs
@@ -208,7 +208,7 @@
         let partition = plan::partitions(PARTITIONS, 1, Some(plan::key_hash("k-17")))[0];
         // All other partitions fail, so a search that included one of them would get no complete answer.
         let others: Vec<u32> = (0..PARTITIONS).filter(|p| *p != partition).collect();
-        s.script.set(&[0, 1, 2], &others, Behaviour::Fail);
+        s.script.set(&[0, 1, 2], &others, Behavior::Fail);
         let both = Search::join(Operator::And, Search::Clause(key), Search::Clause(Clause::new(4, "raga")));
         let first = if wire == WireProtocol::Sru {
             let query = sru::percent_encode("music.compositionid = \"k-17\" and dc.title = raga");
@@ -322,7 +322,7 @@
     // Partition 1 is held by nodes 1 and 2: once the updates are applied, only stand-in 8 (node 2) serves it.
     let moved = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        s.script.set(&[1, 2, 9], &[1], Behaviour::Fail);
+        s.script.set(&[1, 2, 9], &[1], Behavior::Fail);
         s.query("whole") == Reply::Complete && (0..20).all(|_| s.query("whole") == Reply::Complete)
     });
     assert!(moved);
@@ -405,27 +405,26 @@
 
 #[test]
 fn malformed_answer_closes_its_connection_and_its_part_is_served_elsewhere() {
-    for behaviour in [Behaviour::Garbage, Behaviour::Truncated, Behaviour::UnknownQuery, Behaviour::Duplicate]
-    {
+    for behavior in [Behavior::Garbage, Behavior::Truncated, Behavior::UnknownQuery, Behavior::Duplicate] {
         let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
-        s.script.set(&[1], &[0, 1, 2], behaviour);
+        s.script.set(&[1], &[0, 1, 2], behavior);
         let mut c = s.client();
         while s.script.parts_received_by(1) == 0 {
-            assert_eq!(c.query("whole"), Reply::Complete, "{behaviour:?}");
+            assert_eq!(c.query("whole"), Reply::Complete, "{behavior:?}");
         }
         // An idle connection would stay open for 27 s.
         let ended = (0..1000).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
             s.script.closed_connections() > 0
         });
-        assert!(ended, "{behaviour:?}");
+        assert!(ended, "{behavior:?}");
     }
 }
 
 #[test]
 fn duplicate_query_id_gets_409_and_the_first_query_is_answered() {
     let s = start_broker(WireProtocol::Http, WireProtocol::Http, 100);
-    s.script.set(&[0, 1, 2], &[0], Behaviour::Delayed(500));
+    s.script.set(&[0, 1, 2], &[0], Behavior::Delayed(500));
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"t"}"#;
     let same = query_request("same", "Req-Deadline: 20000m\r\n", body);
     let (mut first, mut second) = (s.client(), s.client());
@@ -443,10 +442,10 @@
 
 /// A broker whose 96 descriptors leave 32 for connections to its 40 servers; each server is the only holder of
 /// its partition.
-fn start_broker_with_40_servers(behaviour: Behaviour) -> TestBroker {
+fn start_broker_with_40_servers(behavior: Behavior) -> TestBroker {
     const NODES: usize = 40;
     let script = NodeScript::default();
-    script.set(&(0..NODES).collect::<Vec<_>>(), &(0..NODES as u32).collect::<Vec<_>>(), behaviour);
+    script.set(&(0..NODES).collect::<Vec<_>>(), &(0..NODES as u32).collect::<Vec<_>>(), behavior);
     let nodes: Vec<_> =
         (0..NODES).map(|n| (node(WireProtocol::Http, n, script.clone()), WireProtocol::Http)).collect();
     let config = platform_config(&nodes, 100, None);
@@ -466,7 +465,7 @@
 
 #[test]
 fn more_servers_than_connections_are_all_reached_without_retries() {
-    let s = start_broker_with_40_servers(Behaviour::Serve);
+    let s = start_broker_with_40_servers(Behavior::Serve);
     let mut c = s.client();
     for n in 0..120 {
         let partition = n % 40;
@@ -478,7 +477,7 @@
 
 #[test]
 fn query_to_more_servers_than_connections_is_refused_and_the_next_ones_are_served() {
-    let s = start_broker_with_40_servers(Behaviour::Delayed(200));
+    let s = start_broker_with_40_servers(Behavior::Delayed(200));
     let mut c = s.client();
     // Eight parts get no connection. The query is refused, as none of its parts was lost on a server.
     assert!(query_partitions(&mut c, "all", 0..40).starts_with("HTTP/1.1 503"));
@@ -494,7 +493,7 @@
 fn queries_over_the_places_of_a_port_get_a_complete_answer_or_a_refusal() {
     // 96 descriptors leave 32 places for clients, and up to 16 more temporarily.
     let s = start_broker(WireProtocol::Http, WireProtocol::Http, 1000);
-    s.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(1000));
+    s.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(1000));
     let mut clients: Vec<Client> = (0..70).map(|_| s.client()).collect();
     clients.iter_mut().for_each(|c| c.send("whole", "raga"));
     let replies: Vec<Reply> = clients.iter_mut().map(Client::reply).collect();
--- a/tests/operation/catalogue.rs
+++ b/tests/operation/catalogue.rs
@@ -23,9 +23,10 @@
     }
 
     fn start(&self) -> Process {
-        let admin_addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let admin_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let mut text = format!(
-            "name = \"t\"\nzone = \"a\"\n[operation]\nlisten = \"{admin_addr}\"\nhand_over = {:?}\n[partitions]\ncount = 3\ncells = 3\n\
+            "name = \"t\"\nzone = \"a\"\n[operation]\nlisten = \"{admin_address}\"\nhand_over = {:?}\n[partitions]\ncount = 3\n\
+             cells = 3\n\
              holders = 2\ndatabase = \"part-{{partition}}\"\n[[class]]\nname = \"c\"\naim_ms = 8000\ndeadline_ms = 20000\n\
              [[database]]\nname = \"scores\"\nclass = \"c\"\n[[listener]]\nprotocol = \"sru\"\nlisten = \"{}\"\ndescriptor = 4\n",
             self.tmp.path().join("hand"),
@@ -36,12 +37,12 @@
                 "[[node]]\nid = \"n-{n}\"\nprotocol = \"sru\"\naddress = \"{at}\"\nzone = \"a\"\ncell = {n}\n"
             );
         }
-        let path = self.tmp.path().join(format!("{}.toml", admin_addr.port()));
+        let path = self.tmp.path().join(format!("{}.toml", admin_address.port()));
         std::fs::write(&path, text).unwrap();
         let mut command = Command::new("sh");
         command.args(["-c", "exec \"$0\" \"$@\" 4<&0 0</dev/null", PROGRAM]);
         command.args(["serve", "catalogue"]).arg(path);
-        let process = Process::start(&mut command, &self.listener, admin_addr);
+        let process = Process::start(&mut command, &self.listener, admin_address);
         until("the process serves", || process.admin_request("STATUS").starts_with("SUCCESS"));
         process
     }
--- a/tests/operation/processes.rs
+++ b/tests/operation/processes.rs
@@ -14,7 +14,7 @@
     let connect_timeout = std::time::Duration::from_millis(50);
     let idle: Vec<TcpStream> = (0..1000)
         .filter_map(|n| {
-            let mut s = TcpStream::connect_timeout(&process.admin_addr, connect_timeout).ok()?;
+            let mut s = TcpStream::connect_timeout(&process.admin_address, connect_timeout).ok()?;
             // Some send a part of a request, some nothing.
             let _ = s.write_all(&b"STAT"[..n % 5]);
             Some(s)
@@ -27,7 +27,7 @@
     assert!(process.expect_failure("SUSPEND nobody").contains("never listed"));
     assert!(process.expect_failure(&"x".repeat(100_000)).contains("more than"));
     drop(idle);
-    let mut slow = TcpStream::connect(process.admin_addr).unwrap();
+    let mut slow = TcpStream::connect(process.admin_address).unwrap();
     slow.set_nodelay(true).unwrap();
     for byte in b"STATUS\n" {
         slow.write_all(&[*byte]).unwrap();
@@ -139,7 +139,7 @@
 fn operate_command_prints_responses_for_people_and_scripts() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let ops = process.admin_addr.to_string();
+    let ops = process.admin_address.to_string();
     let mut client = Client::connect(site.listen_addr());
     assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     assert_eq!(operate(&[&ops, "status"]), (Some(0), "serving\n".into(), String::new()));
@@ -163,13 +163,13 @@
 
 #[test]
 fn operate_command_waits_until_no_attempt_is_in_flight_and_no_client_connected() {
-    use pebbleturn_lab::standins::Behaviour;
+    use pebbleturn_lab::standins::Behavior;
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let ops = process.admin_addr.to_string();
+    let ops = process.admin_address.to_string();
     // Both replicas of shard 0 answer late.
     let (first, second) = (0, 2);
-    site.script.set(&[first, second], &[0], Behaviour::Delayed(1500));
+    site.script.set(&[first, second], &[0], Behavior::Delayed(1500));
     let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
     until("the parts are sent", || site.script.parts_received() >= 3);
@@ -178,7 +178,7 @@
     assert_eq!(process.admin_request("OUT s-0"), "SUCCESS 0\n");
     assert!(client.read_response().unwrap().starts_with("HTTP/1.1 200"));
     // An idle client is disconnected; one that waits for its answer receives it first.
-    site.script.set(&[first, second], &[0], Behaviour::Delayed(2500));
+    site.script.set(&[first, second], &[0], Behavior::Delayed(2500));
     process.expect_success("RESTORE s-0");
     process.expect_success("RESTORE s-2");
     let mut busy = Client::connect(site.listen_addr());
@@ -294,8 +294,8 @@
     assert!(half.read_response().unwrap().starts_with("HTTP/1.1 200"));
     // Three pipelined requests to slow servers, so that the first answers arrive while connections are being
     // closed.
-    use pebbleturn_lab::standins::Behaviour;
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(400));
+    use pebbleturn_lab::standins::Behavior;
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(400));
     let three: String = (0..3).map(|_| ahead.next_request()).collect();
     ahead.stream.write_all(three.as_bytes()).unwrap();
     for n in 0..3 {
@@ -319,10 +319,10 @@
 
 #[test]
 fn metrics_are_served_during_a_burst_and_during_a_drain() {
-    use pebbleturn_lab::standins::Behaviour;
+    use pebbleturn_lab::standins::Behavior;
     let site = Site::new(PROGRAM);
     let mut process = site.start();
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(400));
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(400));
     let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(site.listen_addr())).collect();
     clients.iter_mut().for_each(|c| c.send().unwrap());
     until("all queries are active", || process.metrics()["active"] == 8);
--- a/tests/operation/upgrades.rs
+++ b/tests/operation/upgrades.rs
@@ -58,11 +58,11 @@
 
 #[test]
 fn command_to_the_old_process_reaches_the_new_one_that_serves() {
-    use pebbleturn_lab::standins::Behaviour;
+    use pebbleturn_lab::standins::Behavior;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     // A slow query keeps the old process running.
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(3000));
     let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
     until("the parts are sent", || site.script.parts_received() >= 3);
@@ -95,11 +95,11 @@
 /// runs failed this way.
 #[test]
 fn pause_holds_though_its_process_ends_before_the_new_one_looks_again() {
-    use pebbleturn_lab::standins::Behaviour;
+    use pebbleturn_lab::standins::Behavior;
     let site = Site::new(PROGRAM);
     let mut old = site.start();
     // A slow query keeps the old process running.
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(3000));
     let mut client = Client::connect(site.listen_addr());
     client.send().unwrap();
     until("the parts are sent", || site.script.parts_received() >= 3);
--- a/tests/printed_formats/admin_endpoint.rs
+++ b/tests/printed_formats/admin_endpoint.rs
@@ -5,7 +5,7 @@
 use super::placeholder::{Placeholders, hide_numbers};
 use pebbleturn_lab::cluster::bed::{ProcessCluster, name};
 use pebbleturn_lab::running::{Client, HANG_TIMEOUT, Site, until};
-use pebbleturn_lab::standins::Behaviour;
+use pebbleturn_lab::standins::Behavior;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
@@ -94,7 +94,7 @@
     let site = Site::new(PROGRAM);
     let process = site.start();
     let transcript: String =
-        REQUESTS_WITHOUT_PEERS.iter().map(|line| exchange(process.admin_addr, line)).collect();
+        REQUESTS_WITHOUT_PEERS.iter().map(|line| exchange(process.admin_address, line)).collect();
     fixture::assert_matches("admin_without_peers.txt", &transcript);
 }
 
@@ -106,14 +106,15 @@
     let mut client = Client::connect(site.listen_addr());
     assert!(client.query().unwrap().starts_with("HTTP/1.1 200"));
     until("the query has ended", || process.metrics()["active"] == 0);
-    let mut transcript = exchange(process.admin_addr, b"METRICS") + &exchange(process.admin_addr, b"CLIENTS");
-    site.script.set(&[0, 1, 2], &[0, 1, 2], Behaviour::Delayed(3000));
+    let mut transcript =
+        exchange(process.admin_address, b"METRICS") + &exchange(process.admin_address, b"CLIENTS");
+    site.script.set(&[0, 1, 2], &[0, 1, 2], Behavior::Delayed(3000));
     client.send().unwrap();
     until("a query is open", || process.metrics()["active"] == 1);
     process.signal("-TERM");
     process.wait_for_log("graceful shutdown begins");
     for line in [&b"STATUS"[..], b"RESUME", b"METRICS"] {
-        transcript += &exchange(process.admin_addr, line);
+        transcript += &exchange(process.admin_address, line);
     }
     fixture::assert_matches("admin_at_work.txt", &hide_numbers(&transcript, &["tries"]));
 }
--- a/tests/printed_formats/commands.rs
+++ b/tests/printed_formats/commands.rs
@@ -117,7 +117,7 @@
 fn operate_prints_as_recorded() {
     let site = Site::new(PROGRAM);
     let process = site.start();
-    let admin_addr = process.admin_addr.to_string();
+    let admin_address = process.admin_address.to_string();
     let unused_listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let unused_addr = unused_listener.local_addr().unwrap().to_string();
     drop(unused_listener);
@@ -136,15 +136,15 @@
         &["remove", "b-1"],
     ];
     for call in calls {
-        runs.push([&["operate", &admin_addr], call].concat());
-        runs.push([&["operate", &admin_addr, "--json"], call].concat());
+        runs.push([&["operate", &admin_address], call].concat());
+        runs.push([&["operate", &admin_address, "--json"], call].concat());
     }
-    runs.push(vec!["operate", &admin_addr, "dance"]);
-    runs.push(vec!["operate", &admin_addr, "suspend"]);
+    runs.push(vec!["operate", &admin_address, "dance"]);
+    runs.push(vec!["operate", &admin_address, "suspend"]);
     runs.push(vec!["operate", "nowhere", "status"]);
     runs.push(vec!["operate", &unused_addr, "status"]);
     let mut placeholders = Placeholders::default();
-    placeholders.add(&admin_addr, "<called address>");
+    placeholders.add(&admin_address, "<called address>");
     placeholders.add(&unused_addr, "<silent address>");
     let output: String = runs.iter().map(|run| record(run)).collect();
     fixture::assert_matches("operate.txt", &placeholders.apply(&output));
@@ -153,7 +153,7 @@
 #[test]
 fn commands_on_a_cluster_print_as_recorded() {
     let (mut cluster, mut placeholders) = cluster_of_two(22);
-    let admin_addr = cluster.admin_address(0).to_string();
+    let admin_address = cluster.admin_address(0).to_string();
     let calls: [&[&str]; 4] = [
         &["suspend", "n-1", "--by", "asha", "--why", "new disk", "--for", "86400"],
         &["pause", "b-1"],
@@ -162,15 +162,15 @@
     ];
     // Before `remove`: how many messages of a removed peer are dropped depends on time.
     wait_for_equal_stores(&cluster);
-    let mut output = record(&["operate", &admin_addr, "peers"]);
-    output += &record(&["operate", &admin_addr, "--json", "peers"]);
+    let mut output = record(&["operate", &admin_address, "peers"]);
+    output += &record(&["operate", &admin_address, "--json", "peers"]);
     for call in calls {
-        output += &record(&[&["operate", &admin_addr, "--json"], call].concat());
+        output += &record(&[&["operate", &admin_address, "--json"], call].concat());
     }
     wait_for_equal_stores(&cluster);
     for call in ["state", "conflicts"] {
-        output += &record(&["operate", &admin_addr, call]);
-        output += &record(&["operate", &admin_addr, "--json", call]);
+        output += &record(&["operate", &admin_address, call]);
+        output += &record(&["operate", &admin_address, "--json", call]);
     }
     placeholders.add_state(&cluster.json(0, "STATE"));
     cluster.kill(0);
--- a/tests/races/lists.rs
+++ b/tests/races/lists.rs
@@ -63,7 +63,7 @@
 
 /// Whether the broker stops sending to node 1, although no other node serves partition 1.
 fn applies_drain(s: &TestBroker) -> bool {
-    s.script.set(&[2], &[1], Behaviour::Fail);
+    s.script.set(&[2], &[1], Behavior::Fail);
     (0..2000).any(|_| {
         let before = s.script.parts_received_by(1);
         s.query("whole") != Reply::Complete && s.script.parts_received_by(1) == before
