--- a/src/log.rs
+++ b/src/log.rs
@@ -38,24 +38,24 @@
 /// The output format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
-    /// `LEVEL PART: TEXT`.
+    /// Plain text, `LEVEL PART: TEXT`.
     #[default]
     Text,
-    /// One JSON object.
+    /// One JSON object per line.
     Json,
 }
 
 /// The lowest level that is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogLevel {
-    /// What someone must look at.
+    /// Failures that need attention.
     Error,
-    /// What may need a look.
+    /// Problems that may need attention.
     Warn,
-    /// What happened.
+    /// Notable events, such as state changes and rejected requests.
     #[default]
     Info,
-    /// What each connection did.
+    /// Details of single requests, attempts and connections.
     Debug,
 }
 
