--- a/src/frontends/catalogue/frontend.rs
+++ b/src/frontends/catalogue/frontend.rs
@@ -91,7 +91,7 @@
     fn start_reading(&mut self, now: Nanos) {
         self.poll_at = now + FILE_POLL_INTERVAL;
         let Some(path) = self.path.clone() else {
-            return tracing::info!("the operator's file is read at startup only; nothing is changed");
+            return tracing::info!("the operator's file is read at the start only; nothing is changed");
         };
         let (sender, receiver) = sync_channel(1);
         let cells = self.cells;
